--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -4,6 +4,7 @@
 methods (`listed` to `reminded`) with the time; it acts through the `Host` of `door.py`, where the interface
 stands. Parts are actors: they write only their own fields and talk by notes; docs/design.md says why.
 """
+
 from bisect import bisect_right
 from collections import deque
 from itertools import count, islice
@@ -27,64 +28,100 @@
 )
 from ramppulley.parts import Actor, Figures, Kept, Roster, Samples, Send, Tenant, busiest, mean, middle, nudged
 
-MS = 10                         # tenths of a millisecond
-SHORT_LIST, DRAWN = 5, 8        # writers kept; drawn to be looked at: all of a small fleet
-SAMPLES, FRESH = 8, 4000 * MS   # last samples kept of anything; older than this they say nothing of now
-HELD_UP = 150 * MS              # a process may be between its clock and its write
-TICK, MARGIN = 80 * MS, 30 * MS # how often a waiting question is looked at; clocks run out before clients'
-FIRST_PACE, READ_FLOOR = 0.5, 400       # time per unread token before any is known; tokens' worth of any read
-SPEAKS_FOR = 8                  # our own sends stand for those of so many routers at most
-PROBE_EVERY = 900 * MS          # a looked-at worker's report is renewed after this, where only probes report
-LOOKS, LOOK_PART = 4, 0.02      # probes for one question; promised times waited with hardly a report
+MS = 10  # tenths of a millisecond
+SHORT_LIST, DRAWN = 5, 8  # writers kept; drawn to be looked at: all of a small fleet
+SAMPLES, FRESH = 8, 4000 * MS  # last samples kept of anything; older than this they say nothing of now
+HELD_UP = 150 * MS  # a process may be between its clock and its write
+TICK, MARGIN = 80 * MS, 30 * MS  # how often a waiting question is looked at; clocks run out before clients'
+FIRST_PACE, READ_FLOOR = 0.5, 400  # time per unread token before any is known; tokens' worth of any read
+SPEAKS_FOR = 8  # our own sends stand for those of so many routers at most
+PROBE_EVERY = 900 * MS  # a looked-at worker's report is renewed after this, where only probes report
+LOOKS, LOOK_PART = 4, 0.02  # probes for one question; promised times waited with hardly a report
 MISSED_WEIGHT, TRIAL_BONUS = 0.25, 1.0  # pair score of each probe not answered; of a trial due without probes
-FAR_CELL, FAR_AFTER = 0.3, 0.25         # of a reader of another cell, seen when the own ones take this part
+FAR_CELL, FAR_AFTER = 0.3, 0.25  # of a reader of another cell, seen when the own ones take this part
 FAR_ZONE, OTHER_ZONE = 0.08, 4  # pair score of another zone, in promised times; times rarer it is drawn
-MEMORY_WEIGHT, SLOW_WEIGHT = 0.6, 0.5   # pair score of a full writer; of one at half the promised pace
-UNREAD_WEIGHT, HELD_TOKENS = 1.0, 300   # pair score of reading time itself; tokens' worth of a question held
+MEMORY_WEIGHT, SLOW_WEIGHT = 0.6, 0.5  # pair score of a full writer; of one at half the promised pace
+UNREAD_WEIGHT, HELD_TOKENS = 1.0, 300  # pair score of reading time itself; tokens' worth of a question held
 REFUSED_WEIGHT, REFUSED_FOR = 0.5, 20_000 * MS  # pair score where the like was turned away; fading over
-NEAR_REACH = 1.5                # a cell's readers serve its writers up to this many times their even share
-FAVOURED, HOME = 0.5, 0.5       # of the prefix a favourite may lack; of a session's text it holds at home
-SELF_READ = 0.15                # prompts read within this part of the promised time are short for a mixed one
-TRIAL_AFTER, TRIAL_MOST = 500 * MS, 4000 * MS   # a doubted worker's first trial; then doubling up to
-DOUBT_SHARE = 0.34              # of like workers may be doubted for silence alone at once
-SILENT_LEAST, SILENT_TIMES = 600 * MS, 3        # shorter means nothing; times as long as it should take
-COLD_SHARE, COLD_RAMP = 0.85, 0.5       # of the cold budget is used; of an even rise to warm is counted on
-HEAVIEST = 4                    # times the median prompt: more is nothing for a cold worker, but for all cold
-FULL, OVER_SHARE = 0.92, 1.3    # memory share past which questions wait; times its share an account may send
+NEAR_REACH = 1.5  # a cell's readers serve its writers up to this many times their even share
+FAVOURED, HOME = 0.5, 0.5  # of the prefix a favourite may lack; of a session's text it holds at home
+SELF_READ = 0.15  # prompts read within this part of the promised time are short for a mixed one
+TRIAL_AFTER, TRIAL_MOST = 500 * MS, 4000 * MS  # a doubted worker's first trial; then doubling up to
+DOUBT_SHARE = 0.34  # of like workers may be doubted for silence alone at once
+SILENT_LEAST, SILENT_TIMES = 600 * MS, 3  # shorter means nothing; times as long as it should take
+COLD_SHARE, COLD_RAMP = 0.85, 0.5  # of the cold budget is used; of an even rise to warm is counted on
+HEAVIEST = 4  # times the median prompt: more is nothing for a cold worker, but for all cold
+FULL, OVER_SHARE = 0.92, 1.3  # memory share past which questions wait; times its share an account may send
 LINE_PART, ADMIT, ADMIT_MORE = 0.3, 0.33, 0.27  # of the promised time: in line, to first token, by benefit
-LONG, LONG_ROOM = 2, 0.35       # times the median prompt; of its limit, for what is before its own prefill
-HEARD_LOAD, HEARD_AHEAD = 0.25, 400 * MS    # hearsay moves a load, and a wait ahead, by so much at most
-HEARD_ILL = 0.25                # pair score where others met silence or refusal
-CROWD, LATE_PACE = 0.65, 0.5    # at admission: of the middle writer's wait; promised times for half the pace
+LONG, LONG_ROOM = 2, 0.35  # times the median prompt; of its limit, for what is before its own prefill
+HEARD_LOAD, HEARD_AHEAD = 0.25, 400 * MS  # hearsay moves a load, and a wait ahead, by so much at most
+HEARD_ILL = 0.25  # pair score where others met silence or refusal
+CROWD, LATE_PACE = 0.65, 0.5  # at admission: of the middle writer's wait; promised times for half the pace
 
 
 class Worker(Actor):
     """One reader, writer or mixed server: samples, our sends there, health, drain and cold budget."""
-    __slots__ = (       # more than an instance's dictionary holds at full speed
-        "box chance number name reads writes state born probing missed out kept"
-        " unread memory shared shared_until reports starts waits lately paces streamed turnover refused heard"
-        " hearsay told cold_next worked_out worked_at worked_turn doubted doubted_at trial_at strikes plain gone_at"
-    ).split()
+
+    __slots__ = [  # more than an instance's dictionary holds at full speed
+        "box",
+        "chance",
+        "number",
+        "name",
+        "reads",
+        "writes",
+        "state",
+        "born",
+        "probing",
+        "missed",
+        "out",
+        "kept",
+        "unread",
+        "memory",
+        "shared",
+        "shared_until",
+        "reports",
+        "starts",
+        "waits",
+        "lately",
+        "paces",
+        "streamed",
+        "turnover",
+        "refused",
+        "heard",
+        "hearsay",
+        "told",
+        "cold_next",
+        "worked_out",
+        "worked_at",
+        "worked_turn",
+        "doubted",
+        "doubted_at",
+        "trial_at",
+        "strikes",
+        "plain",
+        "gone_at",
+    ]
 
     def __init__(self, router, box):
         super().__init__(router)
         self.box, self.chance = box, router.chance
-        self.number = next(router.numbers)      # among all that were ever listed
+        self.number = next(router.numbers)  # among all that were ever listed
         self.name, self.reads, self.writes = box.mark % 9973, box.role != "write", box.role != "read"
-        self.state, self.born, self.probing, self.missed = box.state, box.born, False, 0    # `on_listed` brings its start
+        self.state, self.born, self.probing, self.missed = box.state, box.born, False, 0  # `on_listed` brings its start
         self.out, self.kept = [], Kept(box.memory)
-        self.unread, self.memory = 0, 0         # of those out
-        self.shared, self.shared_until = None, 0        # what `share` says, as long as nothing comes between
+        self.unread, self.memory = 0, 0  # of those out
+        self.shared, self.shared_until = None, 0  # what `share` says, as long as nothing comes between
         self.reports, self.starts = deque(maxlen=3), deque(maxlen=4 * SAMPLES)
         # first tokens' times, those of late, times per token read, streams' lateness and times; who was refused
         self.waits, self.lately, self.paces, self.streamed, self.turnover = (
-            Samples(span, SAMPLES) for span in (FRESH, FRESH // 3, FRESH, FRESH, FRESH))
+            Samples(span, SAMPLES) for span in (FRESH, FRESH // 3, FRESH, FRESH, FRESH)
+        )
         self.refused = deque(maxlen=SAMPLES)
         self.heard, self.told, self.cold_next, self.hearsay = self.now, 0, 0, None
         self.worked_out, self.worked_at, self.worked_turn = None, 0, -1
         self.doubted, self.doubted_at, self.trial_at, self.strikes = "", 0, 0, 0
         self.gone_at = self.now
-        self.plain = self.state == "ready" and box.born is None         # surely usable
+        self.plain = self.state == "ready" and box.born is None  # surely usable
 
     def figures(self):
         """Worked out once a turn; a worker that told nothing of late has the figures of the average one."""
@@ -106,7 +143,7 @@
         if self.writes:
             held, room = self.share(), self.box.memory or 1
             load = ((usual.load if held is None else held) + self.memory * self.router.speaks / room) / 2
-            if hearsay:     # departure: others told what they have out there
+            if hearsay:  # departure: others told what they have out there
                 load = nudged(load, (self.memory + hearsay.memory) / room, hearsay.known, HEARD_LOAD)
             wait = self.write_wait(usual, (held or 0) + (told or 0) / room - FULL)
             slowness = max(-0.5, min(1.5, (self.streamed.mean(now) or 1 + usual.slowness) - 1))
@@ -120,7 +157,7 @@
 
     def on_told(self):
         self.hearsay = self.box.heard
-        if self.doubted and self.hearsay and self.hearsay.well:     # another's trial did well: ours is due
+        if self.doubted and self.hearsay and self.hearsay.well:  # another's trial did well: ours is due
             self.trial_at = min(self.trial_at, self.now)
 
     def read_time(self, unread):
@@ -140,8 +177,11 @@
         now = self.router.clock
         if now >= self.shared_until:
             room, known = self.box.memory or 1, [r for r in self.reports if now - r[0] < FRESH]
-            told = [r.memory_share + (self.memory - ours) * self.router.speaks / room
-                    for at, r, _, ours in known if r.memory_share is not None]
+            told = [
+                r.memory_share + (self.memory - ours) * self.router.speaks / room
+                for at, r, _, ours in known
+                if r.memory_share is not None
+            ]
             self.shared = max(0.0, mean(told)) if told else None
             self.shared_until = known[0][0] + FRESH if known else now + FRESH
         return self.shared
@@ -159,7 +199,7 @@
             alike = (refused_case is case) + (refused_tenant is tenant)
             surely = alike / 2 * (1 - (now - at) / REFUSED_FOR)
             most = max(most, surely)
-            if alike == 2 and surely >= 0:      # older ones cannot say more
+            if alike == 2 and surely >= 0:  # older ones cannot say more
                 break
         return most if self.refused else 0.0
 
@@ -183,11 +223,17 @@
         if self.state != "ready" or self.born is None or not self.cold():
             return self.state == "ready"
         return self.now >= self.cold_next and (
-            question.heavy <= HEAVIEST or all([w.cold() for w in self.router.roster.like(self)]))
+            question.heavy <= HEAVIEST or all([w.cold() for w in self.router.roster.like(self)])
+        )
 
     def usable(self, question):
-        return self.plain or (self.open(question) and (not self.doubted or (
-            self.now >= self.trial_at and not self.out and not self.router.permits.probes and self.box.trial)))
+        return self.plain or (
+            self.open(question)
+            and (
+                not self.doubted
+                or (self.now >= self.trial_at and not self.out and not self.router.permits.probes and self.box.trial)
+            )
+        )
 
     def is_forgotten(self):
         """Gone for so long that nothing known of it says anything of others; one that comes back is another one."""
@@ -203,9 +249,9 @@
             for old in (self.kept, self.reports, self.refused):
                 old.clear()
             self.doubted, self.strikes, self.born = "", 0, born
-            if self.cold():     # all routers hear of it at once: each begins at its own time
+            if self.cold():  # all routers hear of it at once: each begins at its own time
                 self.cold_next = self.now + int(self.chance() * self.cold_gap())
-        if self.doubted and state == "ready" != self.state:     # its trials ended with its drain
+        if self.doubted and state == "ready" != self.state:  # its trials ended with its drain
             self.router.host.remind(TICK, self)
         if state == "gone" != self.state:
             self.gone_at = self.now
@@ -243,14 +289,14 @@
             self.refused.append((now, slip.use_case, send.question.tenant))
         if outcome == DONE and send.first is not None:
             self.turnover.add(now, now - send.first)
-            length = send.question.likely * slip.use_case.pace or now - send.first      # no aim is told: it kept it
+            length = send.question.likely * slip.use_case.pace or now - send.first  # no aim is told: it kept it
             self.streamed.add(now, (now - send.first) / (length or 1))
         if outcome in (READ, DONE, NO_ROOM, NO_STATE) or report is not None:
             self.trust()
         if send.reads and outcome in (READ, TOO_SLOW):
             self.paces.add(now, took / (send.unread + send.ahead + READ_FLOOR))
         if outcome == READ or (outcome == DONE and self.reads):
-            if kept < (slip.prompt - send.unread) // 2:     # it forgot what it had kept: so it has for others
+            if kept < (slip.prompt - send.unread) // 2:  # it forgot what it had kept: so it has for others
                 self.kept.clear()
             self.kept.add(slip.session, slip.prompt)
             self.kept.add(slip.prefix, slip.prefix_tokens)
@@ -277,16 +323,16 @@
     def on_probed(self, outcome, report):
         self.probing = False
         self.take(report)
-        if outcome in (DONE, NO_ROOM, FAULT):       # also a refusal is an answer: the process lives
+        if outcome in (DONE, NO_ROOM, FAULT):  # also a refusal is an answer: the process lives
             self.trust()
-        elif outcome != STALE:      # alone it proves nothing: connections open slowly; but others come first
+        elif outcome != STALE:  # alone it proves nothing: connections open slowly; but others come first
             self.missed += 1
             if self.doubted or (self.missed > 1 and self.quiet() > SILENT_LEAST + self.usual_wait()):
                 self.doubt("probe unanswered")
 
     def on_tick(self):
         quiet = self.quiet()
-        if quiet > SILENT_LEAST / 2 and self.router.permits.probes:    # a probe is answered between others' work
+        if quiet > SILENT_LEAST / 2 and self.router.permits.probes:  # a probe is answered between others' work
             self.on_look()
         if quiet > SILENT_LEAST and not self.doubted:
             usual = self.usual_wait()
@@ -297,7 +343,7 @@
                 if not send.reads and send.first is None:
                     send.question.note("unanswered", send)
         for send in self.out if self.doubted else ():
-            if send.first is None and send.start <= self.doubted_at:    # not its trial, which came later
+            if send.first is None and send.start <= self.doubted_at:  # not its trial, which came later
                 send.question.note("doubted", send)
 
     def usual_wait(self):
@@ -310,7 +356,7 @@
 
     def on_time_up(self):
         if self.doubted == CUT and any(s.first for s in self.out if s.start <= self.doubted_at):
-            self.trust()        # a connection was lost, not the worker: its other streams go on
+            self.trust()  # a connection was lost, not the worker: its other streams go on
         elif self.doubted and self.state == "ready":
             if self.router.permits.probes and self.now >= self.trial_at:
                 self.on_look()
@@ -349,14 +395,14 @@
         self.sends, self.out, self.tried, self.writers, self.maybe_ran = 0, [], [], [], []
         self.held_by, self.place, self.closed, self.streams = None, None, False, False
         self.value = slip.use_case.benefit / router.desk.best_benefit
-        self.tenant = next(iter(router.desk.tenants[slip.account:]), None)
-        self.idle = self.arrived                # since when it has had nothing at a worker
+        self.tenant = next(iter(router.desk.tenants[slip.account :]), None)
+        self.idle = self.arrived  # since when it has had nothing at a worker
         self.draws = crc32((slip.prefix or slip.session).encode())
         favoured = slip.prefix_tokens * (1 - FAVOURED / min(router.routers, SPEAKS_FOR))
         self.favoured = [int(favoured + HOME * (slip.prompt - slip.prefix_tokens) * home) for home in (0, 1)]
-        self.drawn = None, None, ()             # order, by list and sends
-        self.asked, self.look_until = [], 0     # whom it asked for a place or a report; till when it waits
-        self.wide = False                       # whether it looks beyond the workers that are used ordinarily
+        self.drawn = None, None, ()  # order, by list and sends
+        self.asked, self.look_until = [], 0  # whom it asked for a place or a report; till when it waits
+        self.wide = False  # whether it looks beyond the workers that are used ordinarily
 
     @property
     def roster(self):
@@ -375,12 +421,13 @@
         same = {"all": lambda box: 0, "zone": lambda box: box.zone, "cell": lambda box: box.cell}[case.group]
         return case.effect == "receipted" and all(
             self.now - s.start < case.window - HELD_UP and same(s.worker.box) == same(worker.box)
-            for s in self.maybe_ran)
+            for s in self.maybe_ran
+        )
 
     def on_go(self, reader, writers):
         self.writers = writers
         if not self.send(reader, reader is not writers[0]):
-            self.router.desk.note("further", self, False)   # used up by another since: not again at once
+            self.router.desk.note("further", self, False)  # used up by another since: not again at once
             return
         self.router.desk.note("serve")
         if self.permits.places and reader is not writers[0]:
@@ -441,7 +488,7 @@
 
     def on_outcome(self, send, outcome, final):
         self.out.remove(send)
-        if outcome in ANSWERED:     # else it may never have arrived, and what is held went on waiting
+        if outcome in ANSWERED:  # else it may never have arrived, and what is held went on waiting
             self.idle = self.now
         if not send.reads and outcome not in NEVER_RAN and outcome != DONE:
             self.maybe_ran.append(send)
@@ -452,7 +499,7 @@
         self.closed |= final
         if self.closed:
             self.let_go()
-        elif self.streams and not self.out:     # the answer is ours although the stream had begun
+        elif self.streams and not self.out:  # the answer is ours although the stream had begun
             self.on_time_up()
         elif not self.out:
             if outcome != READ:
@@ -469,9 +516,10 @@
         listed = {w: i for i, w in enumerate(self.writers)}
         order.sort(key=lambda w: (w is not self.place, bool(w.doubted), listed.get(w, len(listed)), far[w]))
         if not self.place and order and order[0].figures().wait > most:
-            order.sort(key=lambda w: w.figures().wait + far[w])     # departure: the fixed one filled up
+            order.sort(key=lambda w: w.figures().wait + far[w])  # departure: the fixed one filled up
         if self.now - self.idle > self.router.lawbook.let_go_within or not any(  # rule 5
-                self.send(worker, False) for worker in order):
+            self.send(worker, False) for worker in order
+        ):
             self.again()
 
     def again(self):
@@ -542,8 +590,10 @@
     def nobody(self, question):
         """No worker of the list may read it, or write it: waiting keeps its client from asking again."""
         may, roster = question.may_run_at, self.router.roster
-        return not (any(map(may, roster.writers)) and any(
-            may(w) for some in (roster.readers, roster.writers) for w in some if w.reads))
+        return not (
+            any(map(may, roster.writers))
+            and any(may(w) for some in (roster.readers, roster.writers) for w in some if w.reads)
+        )
 
     def on_listed(self):
         for line in (self.first, self.further):
@@ -556,8 +606,11 @@
         writers, roster = self.drawn(question), question.roster
         for home in writers[:1]:
             cell = home.box.cell
-            places = (roster.reads_drawn.other(question.draws, None, 0, 1) if cell in roster.short
-                      else roster.reads_drawn.near(question.draws, cell))
+            places = (
+                roster.reads_drawn.other(question.draws, None, 0, 1)
+                if cell in roster.short
+                else roster.reads_drawn.near(question.draws, cell)
+            )
             writers[1:1] = [roster.readers[i] for i in places[:1]]
         for worker in writers[:LOOKS]:
             if not worker.probing and (not worker.reports or self.now - worker.reports[-1][0] >= PROBE_EVERY):
@@ -576,13 +629,11 @@
             self.wait(question, self.further)
 
     def offer(self, question):
-        if self.now < question.look_until and (
-                self.now == question.arrived or any(w.probing for w in question.asked)):
+        if self.now < question.look_until and (self.now == question.arrived or any(w.probing for w in question.asked)):
             return False
         took, reader, writer = self.pair(question)
-        if question.roster is not self.router.roster and (
-                reader is None or took > FAR_AFTER * question.promised):
-            question.wide = True        # departure: what it uses ordinarily is sick, full, cold or gone
+        if question.roster is not self.router.roster and (reader is None or took > FAR_AFTER * question.promised):
+            question.wide = True  # departure: what it uses ordinarily is sick, full, cold or gone
             took, reader, writer = self.pair(question)
         if reader is None or took > self.limit(question, reader):
             return False
@@ -592,15 +643,16 @@
 
     def on_serve(self):
         if self.now - self.served < min(2 * TICK, 2 * self.routers * MS) or not (
-                self.first or self.further or self.shedding):
+            self.first or self.further or self.shedding
+        ):
             return
-        self.on_listed()        # also whose window has passed since
+        self.on_listed()  # also whose window has passed since
         for line in (self.first, self.further):
-            room = True     # until one finds none: a pass costs as much as the line is long otherwise
+            room = True  # until one finds none: a pass costs as much as the line is long otherwise
             for question in sorted(line, key=lambda q: -q.slip.use_case.benefit):
                 if question.closed or (room and self.offer(question)):
                     line.remove(question)
-                    if not question.closed:     # the next is placed when its send counts: `on_go` calls again
+                    if not question.closed:  # the next is placed when its send counts: `on_go` calls again
                         return
                 elif self.now >= self.patience(question):
                     line.remove(question)
@@ -611,8 +663,10 @@
         recent = sum(self.now - at < FRESH // 2 for at in self.turned)
         if (recent > 2) != self.shedding and recent in (0, 3):
             self.shedding = recent > 2
-            self.router.host.log(f"desk {'short of' if self.shedding else 'has'} room: {recent} turned back "
-                                 f"of late, {len(self.first)} + {len(self.further)} in line")
+            self.router.host.log(
+                f"desk {'short of' if self.shedding else 'has'} room: {recent} turned back "
+                f"of late, {len(self.first)} + {len(self.further)} in line"
+            )
 
     def patience(self, question):
         """Till when it may stand in line: not till near its outer limit, so that its client can ask again."""
@@ -628,11 +682,11 @@
             value *= question.slip.benefit_share
         limit = question.promised * (ADMIT + ADMIT_MORE * value)
         nobody_else = len(self.first) + len(self.further) <= (question in self.first)
-        if question.heavy > LONG and nobody_else:   # departure: its own prefill alone may take up the limit
+        if question.heavy > LONG and nobody_else:  # departure: its own prefill alone may take up the limit
             prefill = question.slip.prompt - reader.kept.of(question.slip)
             limit = max(limit, prefill * min(reader.paces.recent(self.now), default=0) + LONG_ROOM * limit)
         if self.now - self.router.attempted >= question.promised and not question.out:
-            return question.left_to()       # departure: estimates learn from attempts alone, and there are none
+            return question.left_to()  # departure: estimates learn from attempts alone, and there are none
         return min(limit, question.left_to())
 
     def drawn(self, question):
@@ -666,26 +720,31 @@
 
     def writer_score(self, writer, question):
         figures = writer.figures()
-        return (MEMORY_WEIGHT * figures.load + SLOW_WEIGHT * figures.slowness + self.worker_score(
-            writer, question) + figures.wait / question.promised)
+        return (
+            MEMORY_WEIGHT * figures.load
+            + SLOW_WEIGHT * figures.slowness
+            + self.worker_score(writer, question)
+            + figures.wait / question.promised
+        )
 
     def ranked(self, question, writers):
-        return self.scored(question, [w for w in dict.fromkeys(writers) if (
-            w.plain or w.usable(question)) and question.may_run_at(w)])
+        return self.scored(
+            question, [w for w in dict.fromkeys(writers) if (w.plain or w.usable(question)) and question.may_run_at(w)]
+        )
 
     def scored(self, question, usable):
         sure = [w for w in usable if not w.doubted or question.slip.use_case.effect == "pure"]
         scores = {w: self.writer_score(w, question) for w in sure or usable}
-        return {w: scores[w] for w in sorted(scores, key=scores.get)}   # best first, with what it scored
+        return {w: scores[w] for w in sorted(scores, key=scores.get)}  # best first, with what it scored
 
     def pair(self, question):
         """(expected time to the first token, reader, writer), without them if there is none."""
         scale, tried, roster = question.promised, question.tried, question.roster
         drawn = self.drawn(question)
-        ranked = self.scored(question, drawn)   # so each of them has its figures worked out
+        ranked = self.scored(question, drawn)  # so each of them has its figures worked out
         across = middle([f for at, f in self.crossed if self.now - at < 2 * FRESH]) or FAR_CELL / 3
         rows, plain, liked, best, least, draws = {}, {}, {}, None, 0, roster.reads_drawn
-        alone, enough = not roster.readers, FAR_AFTER * scale   # departure: only mixed ones, which read all
+        alone, enough = not roster.readers, FAR_AFTER * scale  # departure: only mixed ones, which read all
         for writer in list(ranked)[:SHORT_LIST]:
             cell, zone, short = writer.box.cell, writer.box.zone, writer.box.cell in roster.short
             own, soonest, wait = ranked[writer] + (writer in tried), scale, writer.worked_out.wait
@@ -693,19 +752,23 @@
                 took, score, _ = self.weigh(question, writer, plain)
                 if took <= SELF_READ * scale or alone:
                     soonest, score = min(soonest, took), score + own
-                    if best is None or score < least:   # alone: measured to the answer, so it holds the read
+                    if best is None or score < least:  # alone: measured to the answer, so it holds the read
                         best, least = (max(took, wait) if alone else took + wait, writer, writer), score
             # departures: of all cells where its own are few; of others where its own are gone or far behind
-            looks = [(draws.other, (None, 0, 1), across)] if short else [
-                (draws.near, (cell,), 0), (draws.other, (cell, zone, OTHER_ZONE), max(FAR_CELL, across))]
+            looks = (
+                [(draws.other, (None, 0, 1), across)]
+                if short
+                else [(draws.near, (cell,), 0), (draws.other, (cell, zone, OTHER_ZONE), max(FAR_CELL, across))]
+            )
             for draw, place, distance in looks:
                 home = short or writer is drawn[0]
                 seen = rows.get((place, home))
                 if seen is None:
                     most = DRAWN if draw == draws.other else None
                     readers = self.fit(question, roster.readers, draw(question.draws, *place), most)
-                    seen = rows[place, home] = [liked.get((r, home)) or self.weigh(question, r, liked, home)
-                                                for r in readers[:1]]
+                    seen = rows[place, home] = [
+                        liked.get((r, home)) or self.weigh(question, r, liked, home) for r in readers[:1]
+                    ]
                     seen += [plain.get(r) or self.weigh(question, r, plain) for r in readers[1:]]
                 for took, score, reader in seen:
                     if took < soonest:
@@ -734,12 +797,11 @@
         took = int((unread + figures.ahead + READ_FLOOR) * pace)
         held = (reports[-1][1].held or 0) * HELD_TOKENS if reports else 0
         score = (took + (UNREAD_WEIGHT * unread + held) * pace) / question.promised
-        if reader.refused or reader.probing or reader.missed or (
-                reader.hearsay or reader.box.zone != self.zone):
+        if reader.refused or reader.probing or reader.missed or (reader.hearsay or reader.box.zone != self.zone):
             score += self.worker_score(reader, question) + (reader in question.tried)
         elif reader in question.tried:
             score += 1
-        if reader.doubted and not question.sends:       # its trial is due
+        if reader.doubted and not question.sends:  # its trial is due
             score -= TRIAL_BONUS
         row = known[reader if home is None else (reader, home)] = took, score, reader
         return row
@@ -753,7 +815,7 @@
         self.host, self.clock, self.due, self.chance = host, now, deque(), Random(seed).random
         self.workers, self.questions, self.fleet_figures, self.numbers = {}, {}, {}, count()
         self.roster = self.usual = Roster((), NEAR_REACH)
-        self.attempted = now                    # when the last attempt began
+        self.attempted = now  # when the last attempt began
         self.prompts = deque(maxlen=8 * SAMPLES)
         self.busy, self.fresh = set(), deque()  # workers that may owe a first token; questions without
         self.desk, self.tick_at = Desk(self), 0
@@ -778,10 +840,10 @@
 
     def guard(self, question, worker, place=False):
         """Rules 1 to 4 for every send and every place held ahead."""
-        if question.closed or question.streams or question.left_to() <= 0:              # 1
+        if question.closed or question.streams or question.left_to() <= 0:  # 1
             return False
         may = place or (question.sends < question.permits.sends and question.may_run_at(worker))
-        may = may and worker.open(question)                                                     # 2, 3 and 4
+        may = may and worker.open(question)  # 2, 3 and 4
         if may and not place:
             self.busy.add(worker)
         return may
@@ -812,9 +874,9 @@
             if worker.reads:
                 pace = middle([f for w in like for f in w.paces.recent(clock)]) or FIRST_PACE
                 told = [f for f in [w.others(pace) for w in like] if f is not None]
-                ahead = middle([*told, 0, 0])   # departure: one long queue says nothing of the others
+                ahead = middle([*told, 0, 0])  # departure: one long queue says nothing of the others
             if worker.writes:
-                waits = [f for w in like for f in w.waits.recent(clock)]    # a few tell little of all others
+                waits = [f for w in like for f in w.waits.recent(clock)]  # a few tell little of all others
                 wait = (middle(waits) or 0) * len(waits) / (len(waits) + SAMPLES)
                 load = mean([w.share() for w in like])
                 late = [f for w in like for f in w.streamed.recent(clock)]
@@ -858,8 +920,12 @@
         self.tell(now, (send.worker, "first", send), (send.question, "first", send))
 
     def outcome(self, now, slip, send, outcome, final, kept, report):
-        self.tell(now, (send.worker, "outcome", send, outcome, kept, report),
-                  (send.question, "outcome", send, outcome, final), (self.desk, "serve"))
+        self.tell(
+            now,
+            (send.worker, "outcome", send, outcome, kept, report),
+            (send.question, "outcome", send, outcome, final),
+            (self.desk, "serve"),
+        )
 
     def place(self, now, slip, box, held):
         if slip in self.questions and box in self.workers:
