--- a/ramppulley/check/replay.py
+++ b/ramppulley/check/replay.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from ramppulley import door
-from ramppulley.service.events import Ears, Names, read
+from ramppulley.service.events import RecordedObjects, RecordingHost, read
 
 
 class Difference(Exception):
@@ -31,10 +31,15 @@
 
 
 def _state(router):
-    """What stands around a difference, in few words."""
+    """The router's state at a difference, in few words; an older text of the module has other attribute names."""
+    requests = router.requests if hasattr(router, "requests") else router.questions
+    queue = router.admission if hasattr(router, "admission") else router.desk
+    first = queue.new_requests if hasattr(queue, "new_requests") else queue.first
+    further = queue.retried_requests if hasattr(queue, "retried_requests") else queue.further
+    suspect = sum(bool(w.suspect if hasattr(w, "suspect") else w.doubted) for w in router.workers.values())
     return (
-        f"{len(router.questions)} questions, {len(router.desk.first)} + {len(router.desk.further)} in line, "
-        f"{sum(bool(w.doubted) for w in router.workers.values())} of {len(router.workers)} workers doubted"
+        f"{len(requests)} requests, {len(first)} + {len(further)} in line, "
+        f"{suspect} of {len(router.workers)} workers suspect"
     )
 
 
@@ -43,27 +48,31 @@
 
     def __init__(self, path, router_class):
         head, self.steps = read(path)
-        self.path, self.names = path, Names(keep=True)
-        self.cases, self.boxes, self.ears = [door.UseCase(**c) for c in head.use_cases], {}, Ears(self.names)
+        self.path, self.names = path, RecordedObjects(keep=True)
+        self.cases, self.endpoints, self.recording_host = (
+            [door.RequestClass(**c) for c in head.use_cases],
+            {},
+            RecordingHost(self.names),
+        )
         self.router = router_class(
-            self.ears,
+            self.recording_host,
             seed=head.seed,
             routers=head.routers,
             zone=head.zone,
             use_cases=self.cases,
-            accounts=[door.Account(**a) for a in head.accounts],
-            permits=door.Permits(**head.permits),
-            lawbook=door.Lawbook(**head.lawbook),
+            accounts=[door.TenantShare(**a) for a in head.accounts],
+            permits=door.Capabilities(**head.permits),
+            lawbook=door.PolicySettings(**head.lawbook),
             now=head.now,
         )
 
     def play(self, number, step, compare):
         """Nanoseconds of CPU of one step; raises Difference."""
-        args = _args(step, self.names, self.boxes, self.cases)
+        args = _args(step, self.names, self.endpoints, self.cases)
         call, began = getattr(self.router, step.event), time.process_time_ns()
         call(step.now, *args)
         spent = time.process_time_ns() - began
-        actions = self.ears.taken()
+        actions = self.recording_host.take_actions()
         if compare and actions != step.actions:
             raise Difference(number, step, actions, _state(self.router), self.path)
         return spent
@@ -89,46 +98,46 @@
     return {event: (times[event], spent[event] / 1e9) for event in times}
 
 
-def _args(step, names, boxes, cases):  # noqa: C901 - one branch an event
+def _args(step, names, endpoints, cases):  # noqa: C901 - one branch an event
     """A step's plain arguments as the module's objects."""
     given, event = step.given, step.event
     if event == "listed":
         found = []
         for number, told in given:
             told["heard"] = _hearsay(told.get("heard"))
-            box = boxes.get(number)
-            if box is None:
-                box = boxes[number] = door.Box(**told)
-                names.boxes.of(box)
+            endpoint = endpoints.get(number)
+            if endpoint is None:
+                endpoint = endpoints[number] = door.Endpoint(**told)
+                names.endpoints.of(endpoint)
             for key, value in told.items():
-                setattr(box, key, value)
-            found.append(box)
+                setattr(endpoint, key, value)
+            found.append(endpoint)
         return [found]
     if event == "told":
         for number, told, trial in given:
-            boxes[number].heard, boxes[number].trial = _hearsay(told), trial
-        return [[boxes[number] for number, *_ in given]]
+            endpoints[number].heard, endpoints[number].trial = _hearsay(told), trial
+        return [[endpoints[number] for number, *_ in given]]
     if event == "arrived":
-        slip = door.Slip(cases[given[1]], **given[2])
-        names.slips.of(slip)
-        return [slip]
+        view = door.RequestView(cases[given[1]], **given[2])
+        names.views.of(view)
+        return [view]
     if event == "reminded":
-        return [names.notes.kept[given[0]]]
+        return [names.notes.objects[given[0]]]
     if event == "probed":
-        return [names.boxes.kept[given[0]], given[1], given[2] and door.Report(**given[2])]
-    slip = names.slips.kept[given[0]]
+        return [names.endpoints.objects[given[0]], given[1], given[2] and door.LoadReport(**given[2])]
+    view = names.views.objects[given[0]]
     if event == "left":
-        return [slip]
+        return [view]
     if event == "place":
-        return [slip, names.boxes.kept[given[1]], given[2]]
-    send = names.sends.kept[given[1]]
+        return [view, names.endpoints.objects[given[1]], given[2]]
+    attempt = names.attempts.objects[given[1]]
     if event == "first_token":
-        return [slip, send]
-    return [slip, send, *given[2:5], given[5] and door.Report(**given[5])]
+        return [view, attempt]
+    return [view, attempt, *given[2:5], given[5] and door.LoadReport(**given[5])]
 
 
 def _hearsay(told):
-    return told and door.Hearsay(**told)
+    return told and door.PeerReport(**told)
 
 
 def text_of(path):
--- a/ramppulley/daemon/cluster/pool_workers.py
+++ b/ramppulley/daemon/cluster/pool_workers.py
@@ -8,4 +8,9 @@
 
 def listed_workers(cores):
     """[(box, worker)] of all pools, without those that are gone."""
-    return [(box, worker) for core in cores.values() for box, worker in workers_of(core).items() if box.state != "gone"]
+    return [
+        (endpoint, worker)
+        for core in cores.values()
+        for endpoint, worker in workers_of(core).items()
+        if endpoint.state != "gone"
+    ]
--- a/ramppulley/daemon/cluster/signal_exchange.py
+++ b/ramppulley/daemon/cluster/signal_exchange.py
@@ -21,7 +21,7 @@
         self.told_at = 0
         self.reported_at = {}  # mark -> time of the worker's newest report that claims were held against
         for core in cores().values():
-            core.hear, core.moved = self.tell_modules, self.own_sends_changed
+            core.before_decision, core.attempts_changed = self.tell_modules, self.own_sends_changed
 
     def own_sends_changed(self):
         """A send of this router came or went: the others are told soon."""
@@ -35,14 +35,14 @@
         return [
             signals.row_of(
                 now,
-                box.mark,
-                sum(send.unread for send in worker.out if send.first is None),
+                endpoint.mark,
+                sum(send.unread for send in worker.open_attempts if send.first_token_at is None),
                 worker.memory,
-                worker.doubted,
-                worker.heard,
+                worker.suspect,
+                worker.last_heard_at,
                 worker.refused[-1][0] if worker.refused else None,
             )
-            for box, worker in listed_workers(self.cores())
+            for endpoint, worker in listed_workers(self.cores())
         ]
 
     def tell_modules(self):
@@ -56,21 +56,21 @@
         heard = {} if self.switch.muted else self.machine.heard(now)
         elsewhere = heard.get("")
         changed = {}
-        for name, box in self.fleet.boxes.items():
-            told = heard.get(box.mark, elsewhere)
-            new = told and door.Hearsay(told.unread, told.memory, told.known, told.ill, told.well)
-            if new != box.heard:
-                box.heard = new
-                changed.setdefault(self.fleet.entries[name].pool, []).append(box)
-        for pool, boxes in changed.items():
-            self.cores()[pool].told(boxes)
+        for name, endpoint in self.fleet.endpoints.items():
+            told = heard.get(endpoint.mark, elsewhere)
+            new = told and door.PeerReport(told.unread, told.memory, told.known, told.ill, told.well)
+            if new != endpoint.heard:
+                endpoint.heard = new
+                changed.setdefault(self.fleet.entries[name].pool, []).append(endpoint)
+        for pool, endpoints in changed.items():
+            self.cores()[pool].peer_reports_changed(endpoints)
         self._check_claims()
 
     def _check_claims(self):
         """New reports of prefill workers to ourselves: others' claims are held against them."""
-        for box, worker in listed_workers(self.cores()):
-            if worker.reads and worker.reports and worker.reports[-1][0] > self.reported_at.get(box.mark, 0):
+        for endpoint, worker in listed_workers(self.cores()):
+            if worker.can_prefill and worker.reports and worker.reports[-1][0] > self.reported_at.get(endpoint.mark, 0):
                 at, report, ours, _ = worker.reports[-1]
-                self.reported_at[box.mark] = at
+                self.reported_at[endpoint.mark] = at
                 if report.tokens_waiting is not None:
-                    self.machine.saw(at, box.mark, report.tokens_waiting, ours)
+                    self.machine.saw(at, endpoint.mark, report.tokens_waiting, ours)
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -46,7 +46,7 @@
     def _measure_traffic(self):
         """Our own traffic, coarsely, told anew where it moved."""
         now = self.clock.now()
-        requests = sum(core.taken for core in self.cores().values())
+        requests = sum(core.accepted for core in self.cores().values())
         if now - self.measured_at < TRAFFIC_INTERVAL:
             return
         rate = (requests - self.requests_before) * TENTHS / (now - self.measured_at)
@@ -73,10 +73,12 @@
 
     def _pools(self):
         pools = {}
-        for name, box in self.fleet.boxes.items():
+        for name, endpoint in self.fleet.endpoints.items():
             entry = self.fleet.entries[name]
-            if box.state == "ready":
-                pools.setdefault(entry.pool, []).append(Place(box.mark, box.role, box.cell, box.zone, entry.weight))
+            if endpoint.state == "ready":
+                pools.setdefault(entry.pool, []).append(
+                    Place(endpoint.mark, endpoint.role, endpoint.cell, endpoint.zone, entry.weight)
+                )
         return pools
 
     def _found(self, own, peers, pools, before):
@@ -99,14 +101,14 @@
     def _changed_boxes(self, found):
         """[(pool, box)] of those that got another place or weight."""
         changed = []
-        for name, box in self.fleet.boxes.items():
+        for name, endpoint in self.fleet.endpoints.items():
             entry = self.fleet.entries[name]
             _, weights = found.get(entry.pool, (1.0, {}))
-            if box.state != "ready":
+            if endpoint.state != "ready":
                 continue
-            usual = not weights or box.mark in weights
-            weight = weights.get(box.mark, entry.weight)
-            if (usual, weight) != (box.usual, box.weight):
-                box.usual, box.weight = usual, weight
-                changed.append((entry.pool, box))
+            usual = not weights or endpoint.mark in weights
+            weight = weights.get(endpoint.mark, entry.weight)
+            if (usual, weight) != (endpoint.usual, endpoint.weight):
+                endpoint.usual, endpoint.weight = usual, weight
+                changed.append((entry.pool, endpoint))
         return changed
--- a/ramppulley/daemon/cluster/turn_taking.py
+++ b/ramppulley/daemon/cluster/turn_taking.py
@@ -21,31 +21,33 @@
         self.datagrams = datagrams
         self.log = log
         self.machine = Turns(name, present.addresses, present.remembered, now)
-        self.strikes = {}  # of suspect workers, by box, when their turn was asked for
+        self.consecutive_failures = {}  # of suspect workers, by box, when their turn was asked for
 
     def assign_trials(self):
         """Whose turn it is to try each worker that this router holds for a suspect."""
         now = self.clock.now()
         changed = {}
         for pool, core in self.cores().items():
-            for box, worker in workers_of(core).items():
-                trial = self._may_try(now, box, worker)
-                if trial != box.trial:
-                    box.trial = trial
-                    changed.setdefault(pool, []).append(box)
-        for pool, boxes in changed.items():
-            self.cores()[pool].told(boxes)
+            for endpoint, worker in workers_of(core).items():
+                trial = self._may_try(now, endpoint, worker)
+                if trial != endpoint.trial:
+                    endpoint.trial = trial
+                    changed.setdefault(pool, []).append(endpoint)
+        for pool, endpoints in changed.items():
+            self.cores()[pool].peer_reports_changed(endpoints)
 
-    def _may_try(self, now, box, worker):
-        thing = f"trial {box.mark}"
-        if worker.doubted and box.state != "gone":
-            if worker.strikes != self.strikes.setdefault(box, worker.strikes):
+    def _may_try(self, now, endpoint, worker):
+        thing = f"trial {endpoint.mark}"
+        if worker.suspect and endpoint.state != "gone":
+            if worker.consecutive_failures != self.consecutive_failures.setdefault(
+                endpoint, worker.consecutive_failures
+            ):
                 self.machine.leave(now, thing)  # ours did not do well: another's turn
-                self.strikes[box] = worker.strikes
+                self.consecutive_failures[endpoint] = worker.consecutive_failures
             self.machine.want(now, thing)
-        elif self.strikes.pop(box, None) is not None:
+        elif self.consecutive_failures.pop(endpoint, None) is not None:
             self.machine.leave(now, thing)
-        return not worker.doubted or self.switch.muted or self.machine.may(now, thing)
+        return not worker.suspect or self.switch.muted or self.machine.may(now, thing)
 
     async def turn_to_stop(self, restart):
         """Returns once this router may stop: in its turn, or after the time that the settings name."""
--- a/ramppulley/daemon/daemon.py
+++ b/ramppulley/daemon/daemon.py
@@ -112,13 +112,13 @@
         self.watcher.start()
         self._tidying = loop.create_task(self._tidy())
         self.log.info(
-            "router ready", name=orders.name, port=self.front.port, pid=os.getpid(), workers=len(self.fleet.boxes)
+            "router ready", name=orders.name, port=self.front.port, pid=os.getpid(), workers=len(self.fleet.endpoints)
         )
         return self
 
     def _maker(self, number, pool, cases):
         orders = self.orders
-        permits = door.Permits(
+        permits = door.Capabilities(
             sends=orders.permits.sends,
             probes=orders.engines.load == "probe",
             places=orders.permits.places,
@@ -134,7 +134,7 @@
                 permits=permits,
                 lawbook=orders.rules.of_door(),
                 now=now,
-                accounts=[door.Account(a.per_second) for a in orders.accounts.values()],
+                accounts=[door.TenantShare(a.per_second) for a in orders.accounts.values()],
             )
             if not orders.record_events:
                 return self.make(host, **given)
@@ -158,17 +158,17 @@
         if unknown:
             self.log.warning("workers of pools that the orders do not name are passed over", pools=unknown)
         changed = self.fleet.update([e for e in entries if e.pool in self.orders.pools], self.clock.now(), time.time())
-        for _, box, address in changed:
-            self.engines.set_address(box, address)
-        self._tell([(pool, box) for pool, box, _ in changed])
+        for _, endpoint, address in changed:
+            self.engines.set_address(endpoint, address)
+        self._tell([(pool, endpoint) for pool, endpoint, _ in changed])
         if self.cluster is not None:
             self.cluster.listed()
 
     def _tell(self, changed):
         for pool, core in self.board.cores.items():
-            boxes = [box for where, box in changed if where == pool]
-            if boxes:
-                core.listed(boxes)
+            endpoints = [endpoint for where, endpoint in changed if where == pool]
+            if endpoints:
+                core.endpoints_changed(endpoints)
 
     async def _tidy(self):
         while True:
--- a/ramppulley/daemon/orders.py
+++ b/ramppulley/daemon/orders.py
@@ -50,7 +50,7 @@
         return self
 
     def of_door(self):
-        return door.UseCase(
+        return door.RequestClass(
             tenths(self.promised_s),
             tenths(self.promised_s_per_k),
             tenths(self.outer_limit_s),
@@ -91,7 +91,7 @@
     let_go_within_s: float = Field(0.3, gt=0)
 
     def of_door(self):
-        return door.Lawbook(
+        return door.PolicySettings(
             tenths(self.drain_grace_s),
             self.cold_from,
             tenths(self.cold_for_s),
--- a/ramppulley/daemon/platform/node.py
+++ b/ramppulley/daemon/platform/node.py
@@ -23,7 +23,7 @@
 from ramppulley.daemon.platform.log import Log
 from ramppulley.engines.connections import ConnectionBudget
 from ramppulley.engines.platform.connector import PlatformConnector
-from ramppulley.fleet.platform.endpoint_list import Endpoint, EndpointList
+from ramppulley.fleet.platform.endpoint_list import EndpointList, ListedEndpoint
 from ramppulley.fleet.platform.watch import Watch
 from ramppulley.fronts.platform.server import PlatformFront
 from ramppulley.profile import Profile
@@ -51,7 +51,7 @@
         self.limits = divide_descriptors(self.configuration.descriptors)
         self.log, self.make_router = log, make_router
         self.endpoints_known = False  # whether there is a list to go by
-        self._states: WeakKeyDictionary[door.Box, str] = WeakKeyDictionary()  # as logged last
+        self._states: WeakKeyDictionary[door.Endpoint, str] = WeakKeyDictionary()  # as logged last
         self._ready_logged = False
 
     async def start(self) -> Self:
@@ -66,7 +66,7 @@
         )
         self.endpoints = EndpointList(self.profile, self.log)
         self.core = self._make_core()
-        self.core.held_limit = self.profile.lawbook.let_go_within
+        self.core.kv_state_limit = self.profile.lawbook.let_go_within
         known = self.configuration.known_endpoints
         if known is not None and known.entries:
             self._on_update(known)
@@ -81,7 +81,7 @@
         self.log.info(
             "listening",
             port=self.front.port,
-            workers=len(self.endpoints.workers.boxes),
+            workers=len(self.endpoints.workers.endpoints),
             clients=self.limits.clients,
             to_workers=self.engines.budget.max_open,
         )
@@ -154,25 +154,25 @@
         """An endpoint update, from the configuration or from discovery."""
         self._apply(self.endpoints.update(update, self.clock.now(), int(time.time() * 1000)))
 
-    def _apply(self, changed: list[Endpoint]) -> None:
+    def _apply(self, changed: list[ListedEndpoint]) -> None:
         """Brings changed endpoints, each with its address, to the connections and to the decision module."""
         self._log_states(changed)
-        for box, address in changed:
-            self.engines.set_address(box, address)
-            if box.state == "gone":
-                self.engines.close_worker(box)
+        for endpoint, address in changed:
+            self.engines.set_address(endpoint, address)
+            if endpoint.state == "gone":
+                self.engines.close_worker(endpoint)
         self.endpoints_known = self.endpoints_known or bool(changed)
         if changed:
-            self.core.listed([endpoint.box for endpoint in changed])
+            self.core.endpoints_changed([listed.endpoint for listed in changed])
 
-    def _log_states(self, changed: list[Endpoint]) -> None:
+    def _log_states(self, changed: list[ListedEndpoint]) -> None:
         """A line for each known worker whose state is another one now, by the name that the list gives it."""
-        for box, _ in changed:
-            before = self._states.get(box)
-            if before is not None and before != box.state:
-                name = self.endpoints.workers.ids.get(box)
-                self.log.info("endpoint", host=name, change=f"{before}->{box.state}", seq=self.endpoints.seq)
-            self._states[box] = box.state
+        for endpoint, _ in changed:
+            before = self._states.get(endpoint)
+            if before is not None and before != endpoint.state:
+                name = self.endpoints.workers.ids.get(endpoint)
+                self.log.info("endpoint", host=name, change=f"{before}->{endpoint.state}", seq=self.endpoints.seq)
+            self._states[endpoint] = endpoint.state
 
     def reload(self, path: str) -> None:
         """The configuration was replaced: settings and discovery's address are taken from it, all else stays as at the
@@ -197,8 +197,8 @@
         self.profile = profile
         self.engines.configure(profile)
         self.front.configure(profile, self._max_requests())
-        self.core.configured(self._tenants(), **profile.of_module())
-        self.core.held_limit = profile.lawbook.let_go_within
+        self.core.reconfigured(self._tenants(), **profile.of_module())
+        self.core.kv_state_limit = profile.lawbook.let_go_within
         self._apply(self.endpoints.configure(profile))
 
     def sizes(self) -> dict[str, object]:
@@ -207,10 +207,10 @@
         return {
             "open": len(self.front.open_requests),
             "clients": len(self.front.listener.tasks),
-            "lives": len(self.core.lives),
-            "questions": len(router.questions),
+            "lives": len(self.core.requests),
+            "questions": len(router.requests),
             "workers": len(router.workers),
-            "taken": self.core.taken,
+            "taken": self.core.accepted,
             "to_workers": self.engines.budget.open,
             "at_rest": len(self.engines.budget.idle),
             "tasks": len(self.engines.tasks),
--- a/ramppulley/door.py
+++ b/ramppulley/door.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class UseCase:
+class RequestClass:
     """What the operators promise and allow for one kind of question."""
 
     promised: int  # first token within this
@@ -24,14 +24,14 @@
 
 
 @dataclass(frozen=True)
-class Account:
+class TenantShare:
     """One paying party's share of the service."""
 
     per_second: float  # within its share, all routers together
 
 
 @dataclass(frozen=True)
-class Permits:
+class Capabilities:
     """What this deployment lets a router do."""
 
     sends: int = 4  # for one question
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Lawbook:
+class PolicySettings:
     """Figures of the rules."""
 
     drain_grace: int
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class Hearsay:
+class PeerReport:
     """What other routers tell of a worker: it may move counted load within bounds, and proves nothing."""
 
     unread: int  # of all others' sends out there: prompt tokens to read ...
@@ -68,7 +68,7 @@
 
 
 @dataclass(eq=False)
-class Box:
+class Endpoint:
     """One worker as the list shows it; the host keeps one object per worker and updates it."""
 
     mark: int  # stable number for hashing; the same at every router
@@ -80,15 +80,15 @@
     state: str = "ready"  # ready, draining or gone
     born: int | None = None  # time of its last start; None = long ago
     usual: bool = True  # False: used only where those used ordinarily cannot take a question in good time
-    heard: Hearsay | None = None  # of other routers, where those talk
+    heard: PeerReport | None = None  # of other routers, where those talk
     trial: bool = True  # False: while it is doubted another router has the turn to try it
 
 
 @dataclass(eq=False)
-class Slip:
+class RequestView:
     """One question as it arrives."""
 
-    use_case: UseCase
+    use_case: RequestClass
     prompt: int  # tokens
     most_out: int
     patience: int  # the client leaves after this
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class LoadReport:
     """A worker's own load figures; None = not told."""
 
     held: float | None = None  # questions, waiting states too
@@ -120,14 +120,14 @@
 
 
 class Host(Protocol):
-    """Carries out decisions. `send` and `note` objects come back as they were given."""
-
-    def send(self, slip: Slip, box: Box, time_out: int, send: Any) -> None: ...
-    def hold_place(self, slip: Slip, box: Box) -> None: ...
-    def let_go(self, slip: Slip) -> None: ...
-    def withdraw(self, slip: Slip, send: Any) -> None: ...
-    def probe(self, box: Box) -> None: ...
-    def turn_back(self, slip: Slip, come_back: int) -> None: ...
-    def scrap(self, slip: Slip) -> None: ...
+    """Carries out decisions. `attempt` and `note` objects come back as they were given."""
+
+    def send(self, view: RequestView, endpoint: Endpoint, time_out: int, attempt: Any) -> None: ...
+    def hold_place(self, view: RequestView, endpoint: Endpoint) -> None: ...
+    def let_go(self, view: RequestView) -> None: ...
+    def withdraw(self, view: RequestView, attempt: Any) -> None: ...
+    def probe(self, endpoint: Endpoint) -> None: ...
+    def turn_back(self, view: RequestView, come_back: int) -> None: ...
+    def scrap(self, view: RequestView) -> None: ...
     def remind(self, wait: int, note: Any) -> None: ...
     def log(self, line: str) -> None: ...
--- a/ramppulley/drill/wire.py
+++ b/ramppulley/drill/wire.py
@@ -59,12 +59,12 @@
 
     def __init__(self, name, seed, profile, now, out, make=Router):
         self.name, self.out, self.now = name, out, now
-        self.slips, self.slip_ids, self.sends = {}, {}, {}
+        self.views, self.view_ids, self.sends = {}, {}, {}
         self.out_now, self.closed = {}, {}  # sends out of each question; whether it has its final answer
         self.notes, self.next_note, self.answered = {}, 0, []
         self.profile = Profile(profile)
         self.workers = Workers(self.profile)
-        self.boxes, self.ids = self.workers.boxes, self.workers.ids  # address -> Box, Box -> address
+        self.endpoints, self.ids = self.workers.endpoints, self.workers.ids  # address -> Box, Box -> address
         self.router = self.profile.router(make, self, seed, now)
         self.pause = ASK_AGAIN
         if self.profile.discovery == "on_request":
@@ -78,34 +78,34 @@
     def act(self, *parts):
         self.out.append(" ".join((parts[0], self.name) + parts[1:]))
 
-    def send(self, slip, box, time_out, send):
-        self.sends[slip].append(send)
-        self.out_now[slip] += 1
-        self.act("ATTEMPT", self.slip_ids[slip], seconds(time_out), self.ids[box])
+    def send(self, view, endpoint, time_out, send):
+        self.sends[view].append(send)
+        self.out_now[view] += 1
+        self.act("ATTEMPT", self.view_ids[view], seconds(time_out), self.ids[endpoint])
 
-    def hold_place(self, slip, box):
-        self.act("BOOK_SEAT", self.slip_ids[slip], self.ids[box])
+    def hold_place(self, view, endpoint):
+        self.act("BOOK_SEAT", self.view_ids[view], self.ids[endpoint])
 
-    def let_go(self, slip):
-        self.act("DROP_STATE", self.slip_ids[slip])
+    def let_go(self, view):
+        self.act("DROP_STATE", self.view_ids[view])
 
-    def withdraw(self, slip, send):
-        self.act("WITHDRAW", self.slip_ids[slip], str(self.sends[slip].index(send)))
+    def withdraw(self, view, send):
+        self.act("WITHDRAW", self.view_ids[view], str(self.sends[view].index(send)))
 
-    def probe(self, box):
-        self.act("ASK_LOAD", self.ids[box])
+    def probe(self, endpoint):
+        self.act("ASK_LOAD", self.ids[endpoint])
 
-    def close(self, slip):
-        self.closed[slip] = True
-        self.answered.append(slip)
+    def close(self, view):
+        self.closed[view] = True
+        self.answered.append(view)
 
-    def turn_back(self, slip, come_back):
-        self.close(slip)
-        self.act("DECLINE", self.slip_ids[slip], seconds(come_back))
+    def turn_back(self, view, come_back):
+        self.close(view)
+        self.act("DECLINE", self.view_ids[view], seconds(come_back))
 
-    def scrap(self, slip):
-        self.close(slip)
-        self.act("DROP_REQUEST", self.slip_ids[slip])
+    def scrap(self, view):
+        self.close(view)
+        self.act("DROP_REQUEST", self.view_ids[view])
 
     def remind(self, wait, note):
         self.next_note += 1
@@ -154,7 +154,7 @@
     def work_item(self, now, fields):
         (op, most, n_prefix, dialogue, band, cost, prompt, group, prefix, patience, bits) = fields
         use_case, hinted = self.profile.use_cases[int(band)], whole(bits) & 1 and cost != "-"
-        slip = door.Slip(
+        view = door.RequestView(
             use_case,
             prompt=whole(prompt),
             most_out=whole(most),
@@ -166,47 +166,47 @@
             account=whole(group),
             benefit_share=self.profile.over_share,
         )
-        self.slips[op], self.slip_ids[slip], self.sends[slip] = slip, op, []
-        self.out_now[slip], self.closed[slip] = 0, False
-        self.router.arrived(now, slip)
+        self.views[op], self.view_ids[view], self.sends[view] = view, op, []
+        self.out_now[view], self.closed[view] = 0, False
+        self.router.arrived(now, view)
 
     def head_received(self, now, fields):
-        slip = self.slips.get(fields[0])
-        if slip:
-            self.router.first_token(now, slip, self.sends[slip][int(fields[1])])
+        view = self.views.get(fields[0])
+        if view:
+            self.router.first_token(now, view, self.sends[view][int(fields[1])])
 
     def place_note(self, now, fields):
-        slip = self.slips.get(fields[0])
-        if slip:
-            self.router.place(now, slip, self.boxes[fields[1]], int(fields[2]) == 1)
+        view = self.views.get(fields[0])
+        if view:
+            self.router.place(now, view, self.endpoints[fields[1]], int(fields[2]) == 1)
 
     def finished(self, now, fields):
         op, go, _, code, lag, no_more, remark, health = fields
-        slip = self.slips.get(op)
-        if slip is None:
+        view = self.views.get(op)
+        if view is None:
             return
         outcome = OUTCOMES[code]
         remark = whole(remark)
         if outcome == door.NO_ROOM and remark == 1:
             outcome = door.NO_STATE
-        self.out_now[slip] -= 1
-        self.closed[slip] |= no_more == "1"
+        self.out_now[view] -= 1
+        self.closed[view] |= no_more == "1"
         kept = remark if outcome in (door.DONE, door.READ) else 0
-        self.router.outcome(now, slip, self.sends[slip][int(go)], outcome, no_more == "1", kept, self.report(health))
-        self.forget(slip)
+        self.router.outcome(now, view, self.sends[view][int(go)], outcome, no_more == "1", kept, self.report(health))
+        self.forget(view)
 
     def sampled(self, now, fields):
         code, address, lag, health = fields
-        if address not in self.boxes:
+        if address not in self.endpoints:
             return  # never listed: nobody asked it
-        self.router.probed(now, self.boxes[address], OUTCOMES[code], self.report(health))
+        self.router.probed(now, self.endpoints[address], OUTCOMES[code], self.report(health))
 
     def gone(self, now, fields):
-        slip = self.slips.get(fields[0])
-        if slip:
-            self.closed[slip] = True
-            self.router.left(now, slip)
-            self.forget(slip)
+        view = self.views.get(fields[0])
+        if view:
+            self.closed[view] = True
+            self.router.left(now, view)
+            self.forget(view)
 
     def reminder(self, now, fields):
         note = self.notes.pop(int(fields[0]), None)
@@ -220,10 +220,10 @@
         while self.answered:
             self.forget(self.answered.pop())
 
-    def forget(self, slip):
+    def forget(self, view):
         """A question with its final answer and nothing out is never heard of again."""
-        if self.closed.get(slip) and not self.out_now[slip]:
-            del self.slips[self.slip_ids.pop(slip)], self.sends[slip], self.out_now[slip], self.closed[slip]
+        if self.closed.get(view) and not self.out_now[view]:
+            del self.views[self.view_ids.pop(view)], self.sends[view], self.out_now[view], self.closed[view]
 
     def report(self, text):
         if text in ("-", ""):
--- a/ramppulley/engines/attempts.py
+++ b/ramppulley/engines/attempts.py
@@ -20,7 +20,7 @@
 from ramppulley.engines.proof import Failure, Stage, outcome_of
 from ramppulley.service import permission
 from ramppulley.service.clock import TENTHS
-from ramppulley.service.neutral import End, Out
+from ramppulley.service.neutral import AttemptResult, EngineAttempt
 from ramppulley.service.permission import AttemptFacts, Refusal, WriteFacts
 from ramppulley.wire import http
 from ramppulley.wire.faults import BadMessage
@@ -38,8 +38,8 @@
 class AttemptEndedError(Exception):
     """Carries the End of an attempt out of its stages."""
 
-    def __init__(self, end: End) -> None:
-        super().__init__(end.why)
+    def __init__(self, end: AttemptResult) -> None:
+        super().__init__(end.reason)
         self.end = end
 
 
@@ -95,18 +95,18 @@
     ) -> None:
         self.log, self.max_connections, self.idle_timeout_s = log, max_connections, idle_timeout_s
         self.connect_timeout_s, self.budget = connect_timeout_s, budget
-        self.workers: dict[door.Box, Worker] = {}
+        self.workers: dict[door.Endpoint, Worker] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
         self.closing = False
         self.refresh_list: Callable[[], None] = lambda: None  # reads what discovery has written by now
 
-    def set_address(self, box: door.Box, address: Address) -> None:
+    def set_address(self, endpoint: door.Endpoint, address: Address) -> None:
         """A worker's address. Another one than before closes the old connections; closed ones are replaced by a new pool."""
-        worker = self.workers.get(box)
+        worker = self.workers.get(endpoint)
         if worker is None or worker.address != address or worker.connections.closed:
             if worker:
                 worker.connections.close()
-            self.workers[box] = Worker(address, self.max_connections, self.idle_timeout_s, self.budget)
+            self.workers[endpoint] = Worker(address, self.max_connections, self.idle_timeout_s, self.budget)
 
     def set_idle_timeout(self, seconds: float) -> None:
         """How long an idle connection is kept from now on, also one that is idle already."""
@@ -119,11 +119,13 @@
         called now and then."""
         for worker in self.workers.values():
             worker.connections.expire_idle()
-        for box in [box for box, worker in self.workers.items() if self._gone_for_long(box, worker)]:
-            self.workers.pop(box).connections.close()
+        for endpoint in [
+            endpoint for endpoint, worker in self.workers.items() if self._gone_for_long(endpoint, worker)
+        ]:
+            self.workers.pop(endpoint).connections.close()
 
-    def _gone_for_long(self, box: door.Box, worker: Worker) -> bool:
-        if box.state != "gone":
+    def _gone_for_long(self, endpoint: door.Endpoint, worker: Worker) -> bool:
+        if endpoint.state != "gone":
             worker.gone_since = None
             return False
         now = asyncio.get_running_loop().time()
@@ -143,7 +145,9 @@
         """
         try:
             async with asyncio.timeout(SETTLE_TIMEOUT_S):
-                while self.has_releases() or any(life.out for core in cores for life in core.lives.values()):
+                while self.has_releases() or any(
+                    tracked.open_attempts for core in cores for tracked in core.requests.values()
+                ):
                     await asyncio.sleep(SETTLE_POLL_S)
         except TimeoutError:
             self.log.warning("releases that no worker took in time, or that might be repeated, are given up")
@@ -164,34 +168,39 @@
         return task
 
     # Connector
-    def start(self, core: Any, attempt: Out) -> None:
+    def start(self, core: Any, attempt: EngineAttempt) -> None:
         """Begins an attempt; its End is reported to `core`."""
-        attempt.stage, attempt.listed = Stage.QUEUE, self._listed_state(attempt.box)
-        attempt.connections = self._pool_of(attempt.box)  # a worker that is chosen is listed
+        attempt.stage, attempt.listed_state = Stage.QUEUE, self._listed_state(attempt.endpoint)
+        attempt.connections = self._pool_of(attempt.endpoint)  # a worker that is chosen is listed
         attempt.task = self._spawn(self._run_attempt(core, attempt))
         attempt.task.add_done_callback(lambda task: self._attempt_ended(core, attempt, self._end_of(attempt, task)))
 
-    def cancel(self, attempt: Out) -> None:
+    def cancel(self, attempt: EngineAttempt) -> None:
         """Ends an attempt; its End is reported as any other."""
         attempt.task.cancel()
 
     # For connectors
-    def _attempt_ended(self, core: Any, attempt: Out, end: End) -> None:
-        core.ended(attempt, end)
+    def _attempt_ended(self, core: Any, attempt: EngineAttempt, end: AttemptResult) -> None:
+        core.attempt_ended(attempt, end)
 
-    async def _before_first_byte(self, attempt: Out) -> None:
+    async def _before_first_byte(self, attempt: EngineAttempt) -> None:
         """Waits for what must be over before this attempt's first byte."""
 
-    def _build_request(self, attempt: Out, connections: ConnectionPool) -> bytes:
+    def _build_request(self, attempt: EngineAttempt, connections: ConnectionPool) -> bytes:
         raise NotImplementedError
 
     async def _read_response(
-        self, core: Any, attempt: Out, transport: Transport, timeout: asyncio.Timeout, parser: http.AnswerParser
-    ) -> tuple[End, bool]:
+        self,
+        core: Any,
+        attempt: EngineAttempt,
+        transport: Transport,
+        timeout: asyncio.Timeout,
+        parser: http.AnswerParser,
+    ) -> tuple[AttemptResult, bool]:
         """(End, whether the connection may be used again)."""
         raise NotImplementedError
 
-    def _outcome_of_corrupt(self, attempt: Out) -> str:
+    def _outcome_of_corrupt(self, attempt: EngineAttempt) -> str:
         """What a response that cannot be read proves."""
         return outcome_of(max(attempt.stage, Stage.WAIT, key=_STAGES.index), Failure.CORRUPT)
 
@@ -220,51 +229,51 @@
         return parser
 
     # One attempt
-    def _end_of(self, attempt: Out, task: asyncio.Task[End]) -> End:
+    def _end_of(self, attempt: EngineAttempt, task: asyncio.Task[AttemptResult]) -> AttemptResult:
         if task.cancelled():
-            return End(outcome_of(attempt.stage, Failure.CANCELLED), "withdrawn")
+            return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "withdrawn")
         error = task.exception()
         if error is not None:  # our own; as we cannot tell how far it came, it may have run
-            self.log.error("connector fault", question=attempt.life.request.name, error=repr(error))
-            return End(door.FAULT, f"a fault in the router: {error!r}")
+            self.log.error("connector fault", question=attempt.tracked.request.name, error=repr(error))
+            return AttemptResult(door.FAULT, f"a fault in the router: {error!r}")
         return task.result()
 
-    def _listed_state(self, box: door.Box) -> ListedState | None:
+    def _listed_state(self, endpoint: door.Endpoint) -> ListedState | None:
         """None for a worker that was gone for long."""
-        worker = self.workers.get(box)
-        return None if worker is None else ListedState(box.state, box.born, worker.address)
+        worker = self.workers.get(endpoint)
+        return None if worker is None else ListedState(endpoint.state, endpoint.born, worker.address)
 
-    def _pool_of(self, box: door.Box) -> ConnectionPool:
+    def _pool_of(self, endpoint: door.Endpoint) -> ConnectionPool:
         """Raises ConnectionRefusedError for a worker that was gone for long."""
-        worker = self.workers.get(box)
+        worker = self.workers.get(endpoint)
         if worker is None:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "the worker is gone")
         return worker.connections
 
-    def _final_check(self, core: Any, attempt: Out) -> End | None:
+    def _final_check(self, core: Any, attempt: EngineAttempt) -> AttemptResult | None:
         """The End of an attempt that must not begin any more. No wait lies between this and the first byte."""
         refusal = permission.may_begin_attempt(
             AttemptFacts(
-                client_gone=attempt.life.sink.gone(),
-                answered=attempt.life.ending is not None or attempt.withdrawn,
-                worker_changed=self._listed_state(attempt.box)
-                != attempt.listed,  # it drains, is gone, began anew or moved
-                window_over=core.window_over(attempt),
-                remaining=core.remaining(attempt),
+                client_gone=attempt.tracked.sink.gone(),
+                answered=attempt.tracked.final_answer is not None or attempt.cancelled,
+                worker_changed=self._listed_state(attempt.endpoint)
+                != attempt.listed_state,  # it drains, is gone, began anew or moved
+                window_over=core.repeat_window_over(attempt),
+                remaining=core.remaining_timeout(attempt),
             )
         )
         if refusal is None:
             return None
-        core.refused(attempt, refusal)
+        core.attempt_refused(attempt, refusal)
         if refusal is Refusal.CLIENT_GONE:
-            core.left(attempt.life)
-        return End(outcome_of(attempt.stage, Failure.CANCELLED), refusal)
+            core.client_left(attempt.tracked)
+        return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), refusal)
 
-    async def _run_attempt(self, core: Any, attempt: Out) -> End:
+    async def _run_attempt(self, core: Any, attempt: EngineAttempt) -> AttemptResult:
         """One attempt from its wait for a connection to its End; raises only faults of our own and CancelledError."""
         run = AttemptRun(attempt.connections, http.AnswerParser(self.max_body_bytes))
         try:
-            async with asyncio.timeout(core.remaining(attempt) / TENTHS) as timeout:
+            async with asyncio.timeout(core.remaining_timeout(attempt) / TENTHS) as timeout:
                 transport = await self._write_on_a_connection(core, attempt, run)
                 end, run.reusable = await self._read_response(core, attempt, transport, timeout, run.parser)
                 return end
@@ -275,7 +284,7 @@
         finally:
             run.close()
 
-    async def _write_on_a_connection(self, core: Any, attempt: Out, run: AttemptRun) -> Transport:
+    async def _write_on_a_connection(self, core: Any, attempt: EngineAttempt, run: AttemptRun) -> Transport:
         """Writes the request, on another connection where an idle one turned out unusable; raises AttemptEndedError."""
         connections = run.connections
 
@@ -283,7 +292,7 @@
             attempt.stage = Stage.CONNECT
 
         while True:
-            time_left_s = core.remaining(attempt) / TENTHS
+            time_left_s = core.remaining_timeout(attempt) / TENTHS
             run.short_of_time = time_left_s < self.connect_timeout_s
             transport = run.transport = await connections.acquire(
                 min(self.connect_timeout_s, time_left_s), on_capacity, min_idle_s=_min_idle_s(attempt)
@@ -291,7 +300,7 @@
             attempt.stage = Stage.QUEUE  # what ends it from here to its first byte says nothing of the worker
             await self._before_first_byte(attempt)
             self.refresh_list()  # before the time is read: a long list takes some to parse
-            attempt.remaining = core.remaining(attempt)
+            attempt.remaining = core.remaining_timeout(attempt)
             request = self._build_request(attempt, connections)
             end = self._final_check(core, attempt)
             if end is not None:
@@ -326,18 +335,18 @@
             return False
         return True
 
-    def _end_of_error(self, attempt: Out, run: AttemptRun, error: Exception) -> End:
+    def _end_of_error(self, attempt: EngineAttempt, run: AttemptRun, error: Exception) -> AttemptResult:
         """What an error in an attempt proves of its worker."""
         if isinstance(error, BadMessage):
-            return End(self._outcome_of_corrupt(attempt), str(error))
+            return AttemptResult(self._outcome_of_corrupt(attempt), str(error))
         if isinstance(error, TimeoutError):
             ours = run.short_of_time and attempt.stage == Stage.CONNECT
             failure = Failure.CANCELLED if ours else Failure.TIMED_OUT
-            return End(outcome_of(attempt.stage, failure), f"timed out, {attempt.stage}")
+            return AttemptResult(outcome_of(attempt.stage, failure), f"timed out, {attempt.stage}")
         reason = getattr(error, "strerror", None)
         if isinstance(error, ConnectionLimitError):  # ours, before a byte went out
-            return End(door.STALE, f"{attempt.stage}: {reason}")
-        return End(
+            return AttemptResult(door.STALE, f"{attempt.stage}: {reason}")
+        return AttemptResult(
             outcome_of(attempt.stage, Failure.LOST), f"{attempt.stage}: {reason or error}{_idle_note(run.transport)}"
         )
 
@@ -349,7 +358,7 @@
     return f", after {transport.idle_before_use_s * 1000:.0f} ms at rest"
 
 
-def _min_idle_s(attempt: Out) -> float:
+def _min_idle_s(attempt: EngineAttempt) -> float:
     """How long a connection must have been idle for this attempt: longer where a wrong answer would have it run twice."""
-    unsafe = not attempt.reads and attempt.life.slip.use_case.effect != "pure"
+    unsafe = not attempt.is_prefill and attempt.tracked.view.use_case.effect != "pure"
     return MIN_IDLE_UNSAFE_S if unsafe else MIN_IDLE_S
--- a/ramppulley/engines/openai.py
+++ b/ramppulley/engines/openai.py
@@ -17,7 +17,7 @@
 from ramppulley.engines.reports import FORMAT_HEADER, HEADER, of_metrics, of_orca
 from ramppulley.engines.stream_timeout import StreamTimeout
 from ramppulley.engines.usage import usage_of
-from ramppulley.service.neutral import CHAT, COMPLETION, EMBEDDINGS, ONE_STAGE, RERANK, End
+from ramppulley.service.neutral import CHAT, COMPLETION, EMBEDDINGS, ONE_STAGE, RERANK, AttemptResult
 from ramppulley.wire import http, sse
 from ramppulley.wire.faults import BadMessage
 
@@ -70,37 +70,39 @@
     def _attempt_ended(self, core, attempt, end):
         """Reports an attempt's end; a KV state that a prefill may have left unnamed is released by the attempt's id."""
         super()._attempt_ended(core, attempt, end)
-        unknown = attempt.reads and end.outcome not in door.NEVER_RAN and not self.closing
-        if unknown and "release" in self._extensions(attempt.box):
+        unknown = attempt.is_prefill and end.outcome not in door.NEVER_RAN and not self.closing
+        if unknown and "release" in self._extensions(attempt.endpoint):
             self._call_in_order(
-                attempt.life, attempt.box, self._release(attempt.life, attempt.box, None, f"-s{attempt.number}")
+                attempt.tracked,
+                attempt.endpoint,
+                self._release(attempt.tracked, attempt.endpoint, None, f"-s{attempt.number}"),
             )
 
-    def reserve(self, core, life, box):
+    def reserve(self, core, tracked, endpoint):
         async def call():
             held = False
-            if "hold" in self._extensions(box):
-                body = msgspec.json.encode({"request_id": life.request.name, "prompt_tokens": life.slip.prompt})
+            if "hold" in self._extensions(endpoint):
+                body = msgspec.json.encode({"request_id": tracked.request.name, "prompt_tokens": tracked.view.prompt})
                 try:
                     async with asyncio.timeout(self.connect_timeout_s):
-                        status, _, _ = await self._call(box, "POST", "/kv/hold", body)
+                        status, _, _ = await self._call(endpoint, "POST", "/kv/hold", body)
                     held = status == 200
                 except (OSError, BadMessage):
-                    await self._release(life, box, None)  # unheard, it may be held all the same
-            core.placed(life, box, held)
+                    await self._release(tracked, endpoint, None)  # unheard, it may be held all the same
+            core.reservation_answered(tracked, endpoint, held)
 
-        self._call_in_order(life, box, call())
+        self._call_in_order(tracked, endpoint, call())
 
-    def release(self, life, box, state):
-        if "release" in self._extensions(box):
-            self._call_in_order(life, box, self._release(life, box, state))
+    def release(self, tracked, endpoint, state):
+        if "release" in self._extensions(endpoint):
+            self._call_in_order(tracked, endpoint, self._release(tracked, endpoint, state))
 
     def has_releases(self):
         return bool(self.calls)
 
-    def _call_in_order(self, life, box, call):
+    def _call_in_order(self, tracked, endpoint, call):
         """Sends one request's calls to one worker one after the other: on two connections they may overtake."""
-        key, before = (life.request.name, box), self.calls.get((life.request.name, box))
+        key, before = (tracked.request.name, endpoint), self.calls.get((tracked.request.name, endpoint))
 
         async def after():
             if before is not None:
@@ -115,9 +117,9 @@
         task = self.calls[key] = self._spawn(after())
         task.add_done_callback(over)
 
-    async def _release(self, life, box, state, suffix=""):
+    async def _release(self, tracked, endpoint, state, suffix=""):
         """Calls until one was heard, a few times at most; `suffix`: an attempt's, to release what that may have left."""
-        what = {"request_id": life.request.name + suffix}
+        what = {"request_id": tracked.request.name + suffix}
         if state is not None:
             what |= {
                 "remote_engine_id": state.get("remote_engine_id"),
@@ -127,28 +129,28 @@
         for number in range(MAX_RELEASE_CALLS):  # also past a cut link: what it holds has no other end
             try:
                 async with asyncio.timeout(self.connect_timeout_s):
-                    await self._call(box, "POST", "/kv/release", body)
+                    await self._call(endpoint, "POST", "/kv/release", body)
                 return
             except (OSError, BadMessage):
                 await asyncio.sleep(min(MAX_RELEASE_PAUSE_S, RELEASE_PAUSE_S * 2**number))
 
-    def probe(self, core, box):
+    def probe(self, core, endpoint):
         async def ask():
-            status, _, body = await self._call(box, "GET", "/metrics")
+            status, _, body = await self._call(endpoint, "GET", "/metrics")
             report = of_metrics(body.decode("utf-8", "replace")) if status == 200 else None
-            core.probed(box, door.DONE if status == 200 else door.FAULT, report)
+            core.probed(endpoint, door.DONE if status == 200 else door.FAULT, report)
 
-        self._spawn(self._guarded(ask(), lambda: core.probed(box, door.NO_ROUTE, None)))
+        self._spawn(self._guarded(ask(), lambda: core.probed(endpoint, door.NO_ROUTE, None)))
 
     # Inside
-    def _extensions(self, box):
+    def _extensions(self, endpoint):
         """Of the protocol, that this worker has announced."""
-        worker = self.workers.get(box)
+        worker = self.workers.get(endpoint)
         return frozenset() if worker is None else worker.extensions
 
-    async def _call(self, box, method, path, body=b""):
+    async def _call(self, endpoint, method, path, body=b""):
         """One control call beside the requests: (status, headers, body)."""
-        connections = self._pool_of(box)
+        connections = self._pool_of(endpoint)
         transport = await connections.acquire_reserved(self.connect_timeout_s)
         try:
             parser = await self._exchange(
@@ -167,12 +169,12 @@
         return parser.status, parser.headers, parser.take()
 
     def _build_request(self, attempt, connections):
-        request, body = attempt.life.request, dict(attempt.life.request.body)
+        request, body = attempt.tracked.request, dict(attempt.tracked.request.body)
         if request.kind in (CHAT, COMPLETION):
-            params = split_params(attempt.reads, attempt.state)
+            params = split_params(attempt.is_prefill, attempt.state)
             if params is not None:
                 body["kv_transfer_params"] = params
-            if attempt.reads:
+            if attempt.is_prefill:
                 body |= {"stream": False, "max_tokens": 1}
                 body.pop("stream_options", None)
                 if "max_completion_tokens" in body:
@@ -205,23 +207,23 @@
 
     async def _read_to_end(self, core, attempt, transport, parser, stream_timeout):
         streams, report = None, None
-        worker = self.workers.get(attempt.box)
+        worker = self.workers.get(attempt.endpoint)
         while not parser.done:
             data = await transport.receive()
             if not data:
                 raise AttemptEndedError(
-                    End(
+                    AttemptResult(
                         proof.outcome_of(attempt.stage, proof.Failure.LOST),
                         f"{attempt.stage}: the connection ended",
                         streams.report if streams else None,
                     )
                 )
-            if streams is not None and attempt.first is not None:
+            if streams is not None and attempt.first_token_at is not None:
                 stream_timeout.restart()
             try:
                 parser.feed(data)
             except BadMessage:
-                if attempt.first is not None:
+                if attempt.first_token_at is not None:
                     await streams.feed(parser.take())  # whole events that came before what cannot be read
                 raise
             if parser.status and attempt.stage == proof.Stage.WAIT:
@@ -241,36 +243,36 @@
 
     def _end_of_whole(self, attempt, parser, report):
         """The End by an answer in one piece: a prefill's, a one-stage request's, or a refusal."""
-        body, request = parser.take(), attempt.life.request
+        body, request = parser.take(), attempt.tracked.request
         try:
             told = msgspec.json.decode(body)
         except msgspec.DecodeError as fault:
             if parser.status in self.full:  # the status alone is the proof
-                return End(door.NO_ROOM, f"status {parser.status}", report)
+                return AttemptResult(door.NO_ROOM, f"status {parser.status}", report)
             if parser.status != 200:
-                return End(door.FAULT, f"status {parser.status}", report)
+                return AttemptResult(door.FAULT, f"status {parser.status}", report)
             raise BadMessage(f"not JSON: {fault}") from fault
         error = told.get("error", told) if isinstance(told, dict) else {}
         code = str(error.get("code", "")) if isinstance(error, dict) else ""
-        outcome = proof.of_status(parser.status, code, self.full, attempt.reads)
+        outcome = proof.of_status(parser.status, code, self.full, attempt.is_prefill)
         if outcome is not None:
-            return End(outcome, f"status {parser.status} {code}".strip(), report)
+            return AttemptResult(outcome, f"status {parser.status} {code}".strip(), report)
         if parser.status == 200:
             if not isinstance(told, dict):
                 raise BadMessage("the answer is no object")
             usage = usage_of(told.get("usage"))
-            if attempt.reads:
+            if attempt.is_prefill:
                 state = told.get("kv_transfer_params")
                 if not isinstance(state, dict) or not state.get("do_remote_prefill"):
                     raise BadMessage("a read without kv_transfer_params")
-                return End(door.READ, "", report, usage, state)
+                return AttemptResult(door.READ, "", report, usage, state)
             if request.kind not in ONE_STAGE:
                 raise BadMessage("a stream was asked for")
             if not isinstance(told.get("data" if request.kind == EMBEDDINGS else "results"), list):
                 raise BadMessage("an answer without its list")
         else:
             usage = None
-        return End(
+        return AttemptResult(
             door.DONE,
             "" if parser.status == 200 else f"status {parser.status}",
             report,
@@ -293,29 +295,29 @@
                 raise BadMessage("an event after [DONE]")
             if event == sse.DONE:
                 self.done = True
-                if self.attempt.first is not None:
+                if self.attempt.first_token_at is not None:
                     await self._pass_on(event)
                 continue
             if event.startswith(b'{"error"'):
                 raise AttemptEndedError(
-                    End(door.FAULT, f"an error event: {event[:200].decode('utf-8', 'replace')}", self.report)
+                    AttemptResult(door.FAULT, f"an error event: {event[:200].decode('utf-8', 'replace')}", self.report)
                 )
             only_usage = False
             if b'"usage":{' in event or b'"usage": {' in event or not event.startswith(b"{"):
                 only_usage = self._usage(event)
-            if self.attempt.first is None and not only_usage:
-                if not self.core.first(self.attempt):
-                    raise AttemptEndedError(End(door.UNDONE, "answered already", self.report))
+            if self.attempt.first_token_at is None and not only_usage:
+                if not self.core.first_token(self.attempt):
+                    raise AttemptEndedError(AttemptResult(door.UNDONE, "answered already", self.report))
                 self.stream_timeout.restart()
-            if not only_usage or self.attempt.life.request.with_usage:
+            if not only_usage or self.attempt.tracked.request.with_usage:
                 await self._pass_on(event)
 
     async def _pass_on(self, event):
         self.stream_timeout.forwarding = True
         try:
-            await self.attempt.life.sink.piece(event)
+            await self.attempt.tracked.sink.piece(event)
         except OSError:
-            raise AttemptEndedError(End(door.UNDONE, "the client left", self.report)) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left", self.report)) from None
         self.stream_timeout.forwarding = False
 
     def _usage(self, event):
@@ -331,7 +333,7 @@
 
     def end(self):
         if not self.done:
-            return End(door.CUT, "the stream ended without [DONE]", self.report, self.usage)
-        if self.attempt.first is None:
-            return End(door.FAULT, "a stream without a token", self.report, self.usage)
-        return End(door.DONE, "", self.report, self.usage)
+            return AttemptResult(door.CUT, "the stream ended without [DONE]", self.report, self.usage)
+        if self.attempt.first_token_at is None:
+            return AttemptResult(door.FAULT, "a stream without a token", self.report, self.usage)
+        return AttemptResult(door.DONE, "", self.report, self.usage)
--- a/ramppulley/engines/platform/connector.py
+++ b/ramppulley/engines/platform/connector.py
@@ -19,7 +19,7 @@
 from ramppulley.engines.stream_timeout import StreamTimeout
 from ramppulley.engines.usage import usage_of
 from ramppulley.service.clock import TENTHS
-from ramppulley.service.neutral import End, Life, Out
+from ramppulley.service.neutral import AttemptResult, EngineAttempt, TrackedRequest
 from ramppulley.wire import http, platform
 from ramppulley.wire.faults import BadMessage
 from ramppulley.wire.sockets import Transport
@@ -34,7 +34,7 @@
     """A response that is being read."""
 
     parser: http.AnswerParser
-    report: door.Report | None = None
+    report: door.LoadReport | None = None
     stream: EventStream | None = None
 
 
@@ -53,33 +53,33 @@
         self.connect_timeout_s = profile.connect_within / TENTHS
         self.set_idle_timeout(IDLE_TIMEOUT_SHARE * profile.idle / TENTHS if profile.idle else DEFAULT_IDLE_TIMEOUT_S)
 
-    def record_response(self, box: door.Box) -> None:
+    def record_response(self, endpoint: door.Endpoint) -> None:
         """A worker has just responded."""
-        self.releases.record_response(box)
+        self.releases.record_response(endpoint)
 
-    def close_worker(self, box: door.Box) -> None:
+    def close_worker(self, endpoint: door.Endpoint) -> None:
         """A worker is gone: its idle connections are not needed any more."""
-        self.releases.forget_response(box)
-        self.workers[box].connections.close()
+        self.releases.forget_response(endpoint)
+        self.workers[endpoint].connections.close()
 
     # Connector
-    def reserve(self, core: Any, life: Life, box: door.Box) -> None:
+    def reserve(self, core: Any, tracked: TrackedRequest, endpoint: door.Endpoint) -> None:
         """The protocol has no call for it."""
-        asyncio.get_running_loop().call_soon(core.placed, life, box, False)
+        asyncio.get_running_loop().call_soon(core.reservation_answered, tracked, endpoint, False)
 
-    def release(self, life: Life, box: door.Box | None, state: Any) -> None:
+    def release(self, tracked: TrackedRequest, endpoint: door.Endpoint | None, state: Any) -> None:
         """Releases all that is held for a request, wherever it is. A decode that was given up has to see that first: what
         an attempt waits for is not released."""
-        last = life.outs[-1].end if life.outs else None
+        last = tracked.attempts[-1].result if tracked.attempts else None
         given_up = last is not None and last[1].outcome not in door.ANSWERED
-        self._owe_release(life, DELAY_S if given_up else 0.0)
-        decode = next((attempt for attempt in life.out if not attempt.reads), None)
+        self._owe_release(tracked, DELAY_S if given_up else 0.0)
+        decode = next((attempt for attempt in tracked.open_attempts if not attempt.is_prefill), None)
         if decode is not None and not self.closing:
-            self.releases.given_up(life, decode.box)
+            self.releases.given_up(tracked, decode.endpoint)
 
-    def probe(self, core: Any, box: door.Box) -> None:
+    def probe(self, core: Any, endpoint: door.Endpoint) -> None:
         """Asks a worker for its load; reported to `core.probed`."""
-        self._spawn(self._probe(core, box))
+        self._spawn(self._probe(core, endpoint))
 
     async def close(self) -> None:
         """Also the releases that would be repeated."""
@@ -91,31 +91,31 @@
         return self.releases.outstanding()
 
     # Releases
-    def _attempt_ended(self, core: Any, attempt: Out, end: End) -> None:
-        may_have_left = attempt.reads and end.outcome not in door.NEVER_RAN
-        unanswered = attempt.first is None and end.outcome not in door.ANSWERED + door.NEVER_RAN
+    def _attempt_ended(self, core: Any, attempt: EngineAttempt, end: AttemptResult) -> None:
+        may_have_left = attempt.is_prefill and end.outcome not in door.NEVER_RAN
+        unanswered = attempt.first_token_at is None and end.outcome not in door.ANSWERED + door.NEVER_RAN
         if may_have_left:
-            self._owe_release(attempt.life, DELAY_S)  # the worker must see our close before
+            self._owe_release(attempt.tracked, DELAY_S)  # the worker must see our close before
         if (may_have_left or unanswered) and not self.closing:
-            self.releases.given_up(attempt.life, attempt.box)
+            self.releases.given_up(attempt.tracked, attempt.endpoint)
         super()._attempt_ended(core, attempt, end)
-        if attempt.life in self.releases.owed:  # it waited for this attempt's end
-            asyncio.get_running_loop().call_soon(self.releases.start, attempt.life)
+        if attempt.tracked in self.releases.owed:  # it waited for this attempt's end
+            asyncio.get_running_loop().call_soon(self.releases.start, attempt.tracked)
 
     def _held_limit_s(self) -> float:
         return float(self.profile.lawbook.let_go_within) / TENTHS
 
-    def _owe_release(self, life: Life, delay_s: float) -> None:
+    def _owe_release(self, tracked: TrackedRequest, delay_s: float) -> None:
         if not self.closing:
-            self.releases.owe(life, delay_s)
+            self.releases.owe(tracked, delay_s)
 
-    async def _before_first_byte(self, attempt: Out) -> None:
+    async def _before_first_byte(self, attempt: EngineAttempt) -> None:
         await self.releases.before_first_byte(attempt)
 
-    async def _release_at(self, box: door.Box, request_id: str) -> ReleaseResult:
+    async def _release_at(self, endpoint: door.Endpoint, request_id: str) -> ReleaseResult:
         try:
             async with asyncio.timeout(self.connect_timeout_s / 2):
-                status, _ = await self._call(box, "DELETE", platform.lease(request_id), control=True)
+                status, _ = await self._call(endpoint, "DELETE", platform.lease(request_id), control=True)
             return ReleaseResult.RELEASED if status < 300 else ReleaseResult.FAILED
         except ConnectionLimitError:
             return ReleaseResult.NOT_CALLED
@@ -123,11 +123,11 @@
             return ReleaseResult.FAILED
 
     # Calls beside the requests
-    async def _probe(self, core: Any, box: door.Box) -> None:
+    async def _probe(self, core: Any, endpoint: door.Endpoint) -> None:
         outcome, report = door.TOO_SLOW, None
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                status, figures = await self._call(box, "GET", platform.LOAD)
+                status, figures = await self._call(endpoint, "GET", platform.LOAD)
             outcome = door.DONE if status == 200 else door.FAULT if status != 503 else door.NO_ROOM
             if figures is not None:
                 report = self.profile.report(figures)
@@ -139,13 +139,13 @@
             pass
         except OSError:
             outcome = door.NO_ROUTE
-        core.probed(box, outcome, report)
+        core.probed(endpoint, outcome, report)
 
     async def _call(
-        self, box: door.Box, method: str, target: str, control: bool = False
+        self, endpoint: door.Endpoint, method: str, target: str, control: bool = False
     ) -> tuple[int, dict[str, Any] | None]:
         """One small exchange: (status, a load report's figures or None)."""
-        connections = self._pool_of(box)
+        connections = self._pool_of(endpoint)
         transport = await connections.acquire(self.connect_timeout_s, control=control)
         reusable = False
         try:
@@ -154,28 +154,33 @@
             reusable = parser.keep_alive
         finally:
             (connections.release if reusable else connections.discard)(transport)
-        self.record_response(box)
+        self.record_response(endpoint)
         return parser.status, platform.figures(parser.take() if method == "GET" else None)
 
     # One attempt
-    def _build_request(self, attempt: Out, connections: ConnectionPool) -> bytes:
-        request = attempt.life.request.body  # the client's http.Request
+    def _build_request(self, attempt: EngineAttempt, connections: ConnectionPool) -> bytes:
+        request = attempt.tracked.request.body  # the client's http.Request
         headers = {
             "host": request.headers.get("host", "origin"),
-            platform.ID: attempt.life.request.name,
+            platform.ID: attempt.tracked.request.name,
             platform.LIMIT: max(1, attempt.remaining // 10),  # how long its client waits from now on
         }
         headers |= {name: request.headers[name] for name in platform.PASSED_ON if name in request.headers}
         encoded: bytes = http.request(request.method, request.target, headers, request.body)
         return encoded
 
-    def _outcome_of_corrupt(self, attempt: Out) -> str:
+    def _outcome_of_corrupt(self, attempt: EngineAttempt) -> str:
         """A decode worker's response comes with its first token, and then the KV state has been fetched."""
-        return door.FAULT if attempt.reads else door.SPOILT
+        return door.FAULT if attempt.is_prefill else door.SPOILT
 
     async def _read_response(
-        self, core: Any, attempt: Out, transport: Transport, timeout: asyncio.Timeout, parser: http.AnswerParser
-    ) -> tuple[End, bool]:
+        self,
+        core: Any,
+        attempt: EngineAttempt,
+        transport: Transport,
+        timeout: asyncio.Timeout,
+        parser: http.AnswerParser,
+    ) -> tuple[AttemptResult, bool]:
         """(End, whether the connection may be used again)."""
         stream_timeout, response = StreamTimeout(timeout, transport, STREAM_IDLE_TIMEOUT_S), Response(parser)
         try:
@@ -185,7 +190,7 @@
                     self._read_head(core, attempt, response, stream_timeout)
                 if response.stream is not None:
                     await response.stream.feed(parser.take())
-                    self.record_response(attempt.box)
+                    self.record_response(attempt.endpoint)
             if response.stream is not None:
                 end = await response.stream.end(self._read_stream_report)
             else:
@@ -194,46 +199,46 @@
         finally:
             stream_timeout.close()
 
-    async def _receive(self, attempt: Out, transport: Transport, response: Response) -> None:
+    async def _receive(self, attempt: EngineAttempt, transport: Transport, response: Response) -> None:
         """Feeds the next bytes to the response's parser."""
         parser = response.parser
         data = await transport.receive()
         if not data:
             outcome = outcome_of(attempt.stage, Failure.LOST)
-            raise AttemptEndedError(End(outcome, f"{attempt.stage}: the connection ended", response.report))
+            raise AttemptEndedError(AttemptResult(outcome, f"{attempt.stage}: the connection ended", response.report))
         try:
             parser.feed(data)
         except BadMessage:
-            if response.stream is not None and attempt.first is not None:
+            if response.stream is not None and attempt.first_token_at is not None:
                 await response.stream.feed(parser.take())  # whole events that came before what cannot be read
             raise
 
-    def _read_head(self, core: Any, attempt: Out, response: Response, stream_timeout: StreamTimeout) -> None:
+    def _read_head(self, core: Any, attempt: EngineAttempt, response: Response, stream_timeout: StreamTimeout) -> None:
         """The status and the headers are there."""
         parser = response.parser
         attempt.stage = Stage.ANSWER
-        self.record_response(attempt.box)
+        self.record_response(attempt.endpoint)
         if self.reports_in_responses and platform.REPORT in parser.headers:
             response.report = self._read_report(parser.headers[platform.REPORT])
-        if parser.status == 200 and not attempt.reads:
+        if parser.status == 200 and not attempt.is_prefill:
             if not parser.headers.get("content-type", "").startswith("text/event-stream"):
                 raise BadMessage("a stream was asked for")
             response.stream = EventStream(core, attempt, stream_timeout)
 
-    def _end_of_whole(self, attempt: Out, response: Response) -> End:
+    def _end_of_whole(self, attempt: EngineAttempt, response: Response) -> AttemptResult:
         """The End by a response in one piece: a prefill's, or a refusal."""
         parser = response.parser
         body = parser.take()
-        outcome = of_status(parser.status, parser.headers.get(platform.NEVER) == "1", attempt.reads)
+        outcome = of_status(parser.status, parser.headers.get(platform.NEVER) == "1", attempt.is_prefill)
         why = f"status {parser.status}"
         if outcome != door.READ:
-            return End(outcome, why, response.report)
+            return AttemptResult(outcome, why, response.report)
         usage = usage_of({"prompt_tokens_details": platform.figures(body) or {}})
-        return End(outcome, why, response.report, usage, attempt.life.request.name)
+        return AttemptResult(outcome, why, response.report, usage, attempt.tracked.request.name)
 
-    def _read_stream_report(self, text: bytes) -> door.Report | None:
+    def _read_stream_report(self, text: bytes) -> door.LoadReport | None:
         return self._read_report(text) if self.reports_in_responses else None
 
-    def _read_report(self, text: str | bytes) -> door.Report | None:
+    def _read_report(self, text: str | bytes) -> door.LoadReport | None:
         figures = platform.figures(text)
         return None if figures is None else self.profile.report(figures)
--- a/ramppulley/engines/platform/stream.py
+++ b/ramppulley/engines/platform/stream.py
@@ -7,7 +7,7 @@
 from ramppulley.engines.attempts import AttemptEndedError
 from ramppulley.engines.stream_timeout import StreamTimeout
 from ramppulley.engines.usage import usage_of
-from ramppulley.service.neutral import End, Out
+from ramppulley.service.neutral import AttemptResult, EngineAttempt
 from ramppulley.wire import platform, sse
 from ramppulley.wire.faults import BadMessage
 
@@ -18,14 +18,14 @@
 class EventStream:
     """Passes whole events on at once and unchanged; the next bytes are read once the client has taken them."""
 
-    def __init__(self, core: Any, attempt: Out, stream_timeout: StreamTimeout) -> None:
+    def __init__(self, core: Any, attempt: EngineAttempt, stream_timeout: StreamTimeout) -> None:
         self.core, self.attempt, self.stream_timeout = core, attempt, stream_timeout
         self.blocks, self.tail = sse.Blocks(), b""
 
     async def feed(self, data: bytes) -> None:
         """Raises BadMessage for what is no event: behind the events before it, if the response has begun."""
         events = self.blocks.feed(data)
-        if self.blocks.fault and self.attempt.first is None:
+        if self.blocks.fault and self.attempt.first_token_at is None:
             raise self.blocks.fault  # nothing was passed on: another worker may give the whole answer
         if events:
             await self._pass_on(events)
@@ -34,20 +34,20 @@
 
     async def _pass_on(self, events: bytes) -> None:
         self.tail = (self.tail + events)[-MAX_TAIL_BYTES:]
-        if self.attempt.first is None and not self.core.first(self.attempt):
-            raise AttemptEndedError(End(door.UNDONE, "answered already"))
+        if self.attempt.first_token_at is None and not self.core.first_token(self.attempt):
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "answered already"))
         self.stream_timeout.restart()
         self.stream_timeout.forwarding = True
         try:
-            await self.attempt.life.sink.piece(events)
+            await self.attempt.tracked.sink.piece(events)
         except OSError:
-            raise AttemptEndedError(End(door.UNDONE, "the client left")) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left")) from None
         self.stream_timeout.forwarding = False
 
-    async def end(self, read_report: Callable[[bytes], door.Report | None]) -> End:
+    async def end(self, read_report: Callable[[bytes], door.LoadReport | None]) -> AttemptResult:
         """The End of a whole stream; `read_report` reads a load report."""
         rest = self.blocks.last()
-        if self.attempt.first is None:
+        if self.attempt.first_token_at is None:
             raise BadMessage("a stream without an event")
         if rest:
             await self._pass_on(rest)
@@ -57,4 +57,4 @@
                 report = read_report(line.removeprefix(REPORT_COMMENT).strip())
             elif line.startswith(b"data:") and b'"usage"' in line:
                 usage = usage_of((platform.figures(line.removeprefix(b"data:").strip()) or {}).get("usage")) or usage
-        return End(door.DONE, "", report, usage)
+        return AttemptResult(door.DONE, "", report, usage)
--- a/ramppulley/engines/reports.py
+++ b/ramppulley/engines/reports.py
@@ -9,7 +9,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families
 
-from ramppulley.door import Report
+from ramppulley.door import LoadReport
 
 HEADER, FORMAT_HEADER = "endpoint-load-metrics", "endpoint-load-metrics-format"
 RUNNING, WAITING = "num_requests_running", "num_requests_waiting"
@@ -29,7 +29,7 @@
     held = None if running is None and waiting is None else (running or 0) + (waiting or 0)
     if held is None and share is None and known(TOKENS) is None:
         return None
-    return Report(held=held, memory_share=None if share is None else min(share, 1.0), tokens_waiting=known(TOKENS))
+    return LoadReport(held=held, memory_share=None if share is None else min(share, 1.0), tokens_waiting=known(TOKENS))
 
 
 def of_orca(text):
--- a/ramppulley/fleet/listing.py
+++ b/ramppulley/fleet/listing.py
@@ -64,12 +64,12 @@
     """Boxes by name; `update` brings them to a new list and tells what changed, by pool."""
 
     def __init__(self):
-        self.boxes, self.entries, self.gone_since = {}, {}, {}  # by name
+        self.endpoints, self.entries, self.gone_since = {}, {}, {}  # by name
         self.names = WeakKeyDictionary()  # by box, as long as anybody knows it
         self.ages = StartAges()
 
-    def name_of(self, box):
-        return self.names.get(box, "?")
+    def name_of(self, endpoint):
+        return self.names.get(endpoint, "?")
 
     def update(self, entries, now, wall):
         """`now`: the router's clock; `wall`: seconds since 1970 at that moment. Returns [(pool, box, address)].
@@ -82,34 +82,34 @@
             listed.add(entry.name)
             old = self.entries.get(entry.name)
             if old is not None and (old.pool, old.role) != (entry.pool, entry.role):
-                box = self.boxes.pop(entry.name)
-                box.state = "gone"
-                changed.append((old.pool, box, old.address))
+                endpoint = self.endpoints.pop(entry.name)
+                endpoint.state = "gone"
+                changed.append((old.pool, endpoint, old.address))
                 old = None
-            if entry == old and self.boxes[entry.name].state == entry.state:
+            if entry == old and self.endpoints[entry.name].state == entry.state:
                 continue
-            box = self.boxes.get(entry.name)
-            if box is None:
-                box = self.boxes[entry.name] = door.Box(
+            endpoint = self.endpoints.get(entry.name)
+            if endpoint is None:
+                endpoint = self.endpoints[entry.name] = door.Endpoint(
                     mark=crc32(entry.name.encode()),
                     role="both" if entry.role == "pool" else entry.role,
                     cell=0,
                     zone=0,
                     memory=0,
                 )
-                self.names[box] = entry.name
-            box.cell, box.zone = crc32(entry.cell.encode()), crc32(entry.zone.encode())
-            box.memory, box.weight, box.state = entry.memory_tokens, entry.weight, entry.state
+                self.names[endpoint] = entry.name
+            endpoint.cell, endpoint.zone = crc32(entry.cell.encode()), crc32(entry.zone.encode())
+            endpoint.memory, endpoint.weight, endpoint.state = entry.memory_tokens, entry.weight, entry.state
             if old is None or old.started != entry.started:
                 born = None if entry.started is None else now - self._age(entry.started, now, wall)
-                box.born = born if born is None else born or -1
+                endpoint.born = born if born is None else born or -1
             self.entries[entry.name] = entry
-            changed.append((entry.pool, box, entry.address))
+            changed.append((entry.pool, endpoint, entry.address))
         for name, entry in self.entries.items():
-            box = self.boxes.get(name)
-            if name not in listed and box is not None and box.state != "gone":
-                box.state = "gone"
-                changed.append((entry.pool, box, entry.address))
+            endpoint = self.endpoints.get(name)
+            if name not in listed and endpoint is not None and endpoint.state != "gone":
+                endpoint.state = "gone"
+                changed.append((entry.pool, endpoint, entry.address))
         self._forget_gone(now)
         return changed
 
@@ -118,8 +118,8 @@
 
     def _forget_gone(self, now):
         """Keeps nothing of workers that have been gone for long."""
-        for name, box in list(self.boxes.items()):
-            if box.state != "gone":
+        for name, endpoint in list(self.endpoints.items()):
+            if endpoint.state != "gone":
                 self.gone_since.pop(name, None)
             elif now - self.gone_since.setdefault(name, now) >= GONE_RETENTION:
-                del self.boxes[name], self.entries[name], self.gone_since[name]
+                del self.endpoints[name], self.entries[name], self.gone_since[name]
--- a/ramppulley/fleet/platform/endpoint_list.py
+++ b/ramppulley/fleet/platform/endpoint_list.py
@@ -17,10 +17,10 @@
 GONE_RETENTION = 30 * TENTHS_PER_S  # a worker that comes back within this is the same one
 
 
-class Endpoint(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """A worker that an update names or ends, and where it listens."""
 
-    box: door.Box
+    endpoint: door.Endpoint
     address: platform.Address
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, profile: Profile, log: Log) -> None:
         self.log, self.workers, self.seq = log, Workers(profile), 0
-        self.addresses: WeakKeyDictionary[door.Box, platform.Address] = WeakKeyDictionary()
+        self.addresses: WeakKeyDictionary[door.Endpoint, platform.Address] = WeakKeyDictionary()
         self.starts: dict[str, Start] = {}  # by id
         self.placements: dict[str, Placement] = {}  # by id
         self.gone_since: dict[str, int] = {}  # by id, the one that went longest ago first
@@ -65,29 +65,29 @@
         self.zones = list(profile.zones)  # and after them each one that only entries name, with a number of its own
         self.one_zone = not profile.zones and all(case.group != "zone" for case in profile.use_cases)
 
-    def configure(self, profile: Profile) -> list[Endpoint]:
+    def configure(self, profile: Profile) -> list[ListedEndpoint]:
         """The settings changed: all known workers, with their zone, role and memory by the new ones.
 
         A worker whose class they do not name gets no new attempt, as none is known to fit it. It is not gone: what it
         has goes on, and it ends by the list alone, or is ready again when the list tells a class that they name."""
         self._use(profile)
         entries, addresses = [], {}
-        for name, box in self.workers.boxes.items():
-            if box.state != "gone":
-                addresses[name] = self.addresses[box]
-                entries.append(self._reconfigured(name, box))
+        for name, endpoint in self.workers.endpoints.items():
+            if endpoint.state != "gone":
+                addresses[name] = self.addresses[endpoint]
+                entries.append(self._reconfigured(name, endpoint))
         return self._with_addresses(self.workers.update(entries, False), addresses)
 
-    def _reconfigured(self, name: str, box: door.Box) -> WorkerEntry:
+    def _reconfigured(self, name: str, endpoint: door.Endpoint) -> WorkerEntry:
         """A known worker's entry by the settings in force."""
         zone, worker_class = self.placements[name]
         state, kind = "draining", None
         if worker_class in self.profile.kinds:
-            state, kind = box.state, self.profile.kinds.index(worker_class)
-            box.memory = self.workers.memory_of(kind)
-        return WorkerEntry(name, state, box.cell, self._zone_number(zone), kind, box.weight, box.born)
+            state, kind = endpoint.state, self.profile.kinds.index(worker_class)
+            endpoint.memory = self.workers.memory_of(kind)
+        return WorkerEntry(name, state, endpoint.cell, self._zone_number(zone), kind, endpoint.weight, endpoint.born)
 
-    def update(self, update: platform.EndpointUpdate, now: int, wall_ms: int) -> list[Endpoint]:
+    def update(self, update: platform.EndpointUpdate, now: int, wall_ms: int) -> list[ListedEndpoint]:
         """Takes an update over. `now`: the router's clock; `wall_ms`: milliseconds since 1970 at that moment.
 
         An entry that cannot be read leaves its worker as it was, also on a whole list. Yet one that is said to drain or
@@ -103,18 +103,18 @@
         if parsed.faults and self.fault_lines.due(now / TENTHS_PER_S):
             self.log.warning("entry of the list passed over", fault=parsed.faults[0], entries=len(parsed.faults))
         self.seq = update.seq
-        boxes = self.workers.update(parsed.entries, update.whole, parsed.unreadable)
-        changed = self._with_addresses(boxes, parsed.addresses)
-        self._forget_gone(boxes, now)
+        endpoints = self.workers.update(parsed.entries, update.whole, parsed.unreadable)
+        changed = self._with_addresses(endpoints, parsed.addresses)
+        self._forget_gone(endpoints, now)
         return changed
 
-    def _forget_gone(self, changed: Iterable[door.Box], now: int) -> None:
+    def _forget_gone(self, changed: Iterable[door.Endpoint], now: int) -> None:
         """Keeps nothing of workers that have been gone for long: a fleet replaces its workers again and again."""
-        for box in changed:
-            name = self.workers.ids[box]
-            if box.state != "gone":
+        for endpoint in changed:
+            name = self.workers.ids[endpoint]
+            if endpoint.state != "gone":
                 self.gone_since.pop(name, None)
-            elif self.workers.boxes.get(name) is box:  # else another worker of that id took its place
+            elif self.workers.endpoints.get(name) is endpoint:  # else another worker of that id took its place
                 self.gone_since.setdefault(name, now)
         for name in [name for name, since in self.gone_since.items() if now - since >= GONE_RETENTION]:
             self.workers.forget(name)
@@ -146,9 +146,11 @@
 
     def _change_state(self, name: str, state: str, parsed: ParsedEntries) -> None:
         """Adds an entry that changes nothing but a known worker's state; none for an unknown one."""
-        box = self.workers.boxes.get(name)
-        if box is not None:
-            parsed.entries.append(WorkerEntry(name, state, box.cell, box.zone, None, box.weight, box.born))
+        endpoint = self.workers.endpoints.get(name)
+        if endpoint is not None:
+            parsed.entries.append(
+                WorkerEntry(name, state, endpoint.cell, endpoint.zone, None, endpoint.weight, endpoint.born)
+            )
 
     def _zone_number(self, zone: Any) -> int:
         """The number of a zone. All are one where the settings name none and bind no repeats to one; else no two share a
@@ -171,8 +173,10 @@
         self.starts[name] = Start(born_ms, born)
         return born
 
-    def _with_addresses(self, boxes: Iterable[door.Box], new_addresses: dict[str, platform.Address]) -> list[Endpoint]:
+    def _with_addresses(
+        self, endpoints: Iterable[door.Endpoint], new_addresses: dict[str, platform.Address]
+    ) -> list[ListedEndpoint]:
         """Each box with its address; `new_addresses`: by id, those that were told now."""
         for name, address in new_addresses.items():
-            self.addresses[self.workers.boxes[name]] = address
-        return [Endpoint(box, self.addresses[box]) for box in boxes]
+            self.addresses[self.workers.endpoints[name]] = address
+        return [ListedEndpoint(endpoint, self.addresses[endpoint]) for endpoint in endpoints]
--- a/ramppulley/fronts/http/answers.py
+++ b/ramppulley/fronts/http/answers.py
@@ -34,11 +34,11 @@
 
 def answer_of(ending, attempts):
     """(status, headers, body) of an ending other than a gathered or streamed answer."""
-    if ending.how == COMPLETED:
+    if ending.result == COMPLETED:
         return ending.status, JSON, ending.body
     headers = {**JSON, "x-should-retry": "true" if ending.retryable else "false"}
-    if ending.how == REJECTED:
+    if ending.result == REJECTED:
         status, code = (503, "unavailable") if attempts else (429, "overloaded")
-        return status, headers | retry_headers(ending.retry_after), error(ending.why, "turned_back", code)
-    status = 502 if "fault" in ending.why else 504
-    return status, headers, error(ending.why, "scrapped", "may_have_run")
+        return status, headers | retry_headers(ending.retry_after), error(ending.reason, "turned_back", code)
+    status = 502 if "fault" in ending.reason else 504
+    return status, headers, error(ending.reason, "scrapped", "may_have_run")
--- a/ramppulley/fronts/http/server.py
+++ b/ramppulley/fronts/http/server.py
@@ -227,7 +227,7 @@
         estimator = core.estimator
         prompt = counted + (estimator.tokens(checked.model, weighed) if weighed else 0)
         use_case = names.use_case_of(naming, metadata, kind, checked.model)
-        if use_case not in core.use_cases:
+        if use_case not in core.request_classes:
             raise bodies.Unfit(f"use case {use_case} is not served by {checked.model}", "model")
         prefix, prefix_bytes = names.beginning_of(kind, body)
         told = metadata.get("x-request-id", "")
@@ -241,7 +241,7 @@
             model=checked.model,
             request_class=use_case,
             body=body,
-            deadline=names.patience_of(naming, metadata, core.use_cases[use_case], prompt),
+            deadline=names.patience_of(naming, metadata, core.request_classes[use_case], prompt),
             prompt=max(1, prompt),
             weighed=0 if counted else weighed,
             max_out=max_out,
@@ -260,7 +260,7 @@
     async def _answer_request(self, connection, request, core, keep):
         """From taken to its final answer; whether the connection stays open."""
         sink = Sink(connection.transport, request, self.slow_client_timeout_s, keep)
-        life = core.take(request, sink)
+        tracked = core.submit(request, sink)
         try:
             while not sink.done.done():
                 if not await connection.wait_for(sink.done, LOOK_INTERVAL_S if connection.early_bytes else None):
@@ -268,9 +268,9 @@
                 if connection.early_bytes and not sink.done.done() and sink.gone():
                     return False  # an end that is hidden behind what came early is one as well
             ending = sink.done.result()
-            if ending.how == CLIENT_LEFT or sink.sending:
+            if ending.result == CLIENT_LEFT or sink.sending:
                 return False
-            keep = await self._end(connection.transport, request, life, sink, ending, keep) and keep
+            keep = await self._end(connection.transport, request, tracked, sink, ending, keep) and keep
             if keep and connection.early_bytes:
                 early, connection.early_bytes = connection.early_bytes, b""
                 connection.parser.feed(early)
@@ -279,22 +279,22 @@
             await self._refuse(connection, fault.status, str(fault))
             return False
         finally:
-            core.left(life)  # no effect after an ending
+            core.client_left(tracked)  # no effect after an ending
 
-    async def _end(self, transport, request, life, sink, ending, keep):
+    async def _end(self, transport, request, tracked, sink, ending, keep):
         """Writes the final answer; whether the connection can go on."""
         if sink.begun:
-            if ending.how == COMPLETED:
+            if ending.result == COMPLETED:
                 await send(transport, http.LAST_CHUNK, self.slow_client_timeout_s)  # behind the engine's own [DONE]
                 return True
             # an error event and no last chunk: no client can take it for a whole answer
-            told = answers.error("the stream broke: " + ending.why, "broken_stream", "may_have_run")
+            told = answers.error("the stream broke: " + ending.reason, "broken_stream", "may_have_run")
             await send(transport, http.chunk(sse.event(told)), self.slow_client_timeout_s)
             return False
-        if ending.how == COMPLETED and not ending.body and sink.gatherer:
+        if ending.result == COMPLETED and not ending.body and sink.gatherer:
             status, headers, body = 200, answers.JSON, sink.gatherer.whole()
         else:
-            status, headers, body = answers.answer_of(ending, len(life.outs))
+            status, headers, body = answers.answer_of(ending, len(tracked.attempts))
         await send(
             transport,
             http.answer(status, {**headers, "x-request-id": request.name}, body, keep),
--- a/ramppulley/fronts/platform/answers.py
+++ b/ramppulley/fronts/platform/answers.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-from ramppulley.service.neutral import REJECTED, Ending
+from ramppulley.service.neutral import REJECTED, FinalAnswer
 
 TEXT = {"content-type": "text/plain"}
 TENTHS_PER_S = 10_000  # of the router's clock
@@ -44,9 +44,9 @@
     return {"retry-after": f"{retry_after / TENTHS_PER_S:.3f}"} if retry_after > 0 else {}
 
 
-def answer_of(ending: Ending) -> Answer:
+def answer_of(ending: FinalAnswer) -> Answer:
     """The answer that says how a request ended, where it did not end with a stream."""
-    body = ending.why.encode() + b"\n"
-    if ending.how == REJECTED:
+    body = ending.reason.encode() + b"\n"
+    if ending.result == REJECTED:
         return Answer(503, TEXT | retry_headers(ending.retry_after), body)
-    return Answer(500 if "fault" in ending.why else 504, TEXT, body)
+    return Answer(500 if "fault" in ending.reason else 504, TEXT, body)
--- a/ramppulley/fronts/platform/server.py
+++ b/ramppulley/fronts/platform/server.py
@@ -17,7 +17,7 @@
 from ramppulley.service import permission
 from ramppulley.service.audit import Action, Violation
 from ramppulley.service.core import Core
-from ramppulley.service.neutral import CLIENT_LEFT, COMPLETED, Ending, InferenceRequest, Life
+from ramppulley.service.neutral import CLIENT_LEFT, COMPLETED, FinalAnswer, InferenceRequest, TrackedRequest
 from ramppulley.service.permission import Refusal, RequestFacts
 from ramppulley.wire import http, platform
 from ramppulley.wire.faults import BadMessage
@@ -246,35 +246,37 @@
         """From taken to its final answer; whether the connection stays open."""
         stream = EventStream(connection, lambda: keep_alive and not self.closing)
         self.open_requests[request.name] = stream
-        life = self.core.take(request, stream)
+        tracked = self.core.submit(request, stream)
         try:
-            if not await self._wait_for_ending(connection, stream, life):
+            if not await self._wait_for_ending(connection, stream, tracked):
                 return False  # the client left
             return await self._send_ending(connection, stream, stream.done.result(), keep_alive)
         finally:
             self._forget_request(request.name)
-            self.core.left(life)  # no effect after an ending
+            self.core.client_left(tracked)  # no effect after an ending
 
-    async def _wait_for_ending(self, connection: ClientConnection, stream: EventStream, life: Life) -> bool:
+    async def _wait_for_ending(
+        self, connection: ClientConnection, stream: EventStream, tracked: TrackedRequest
+    ) -> bool:
         """Until the request has ended; whether its client is still there."""
         while not stream.done.done():
             if not await connection.wait_for(stream.done):
                 return False
             if connection.early_bytes and not stream.begun:
-                self.core.left(life)  # no effect after an ending
+                self.core.client_left(tracked)  # no effect after an ending
         return True
 
     async def _send_ending(
-        self, connection: ClientConnection, stream: EventStream, ending: Ending, keep_alive: bool
+        self, connection: ClientConnection, stream: EventStream, ending: FinalAnswer, keep_alive: bool
     ) -> bool:
         """What is left to send of the answer; whether the connection stays open."""
-        if ending.how == CLIENT_LEFT:  # just now, or by the last look before an attempt, which reads nothing
+        if ending.result == CLIENT_LEFT:  # just now, or by the last look before an attempt, which reads nothing
             await self._refuse_early_bytes(connection)
             return False
         if stream.sending:
             return False
         keep_alive = keep_alive and not connection.early_bytes and not self.closing
-        if ending.how == COMPLETED:
+        if ending.result == COMPLETED:
             await self._send(connection, http.LAST_CHUNK)
             return keep_alive
         if stream.begun:
--- a/ramppulley/fronts/response_stream.py
+++ b/ramppulley/fronts/response_stream.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ramppulley.fronts.client_connection import send
-from ramppulley.service.neutral import Ending
+from ramppulley.service.neutral import FinalAnswer
 from ramppulley.wire import http
 from ramppulley.wire.sockets import Transport
 
@@ -13,7 +13,7 @@
 
     def __init__(self, transport: Transport, timeout_s: float) -> None:
         self.transport, self.timeout_s = transport, timeout_s
-        self.done: asyncio.Future[Ending] = asyncio.get_running_loop().create_future()
+        self.done: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
         self.begun, self.sending = False, False
 
     def head(self) -> bytes:
@@ -35,7 +35,7 @@
         sent may hide its end."""
         return self.done.done() or not self.transport.is_quiet()
 
-    def final(self, ending: Ending) -> None:
+    def final(self, ending: FinalAnswer) -> None:
         """The one ending; a second one changes nothing."""
         if not self.done.done():
             self.done.set_result(ending)
--- a/ramppulley/load/baselines.py
+++ b/ramppulley/load/baselines.py
@@ -17,20 +17,20 @@
 
     def __init__(self, host, *, seed, routers, zone, use_cases, accounts, permits, lawbook, now=0):
         self.host, self.permits, self.lawbook, self.routers = host, permits, lawbook, routers
-        self.chance, self.workers, self.questions, self.next_cold = Random(seed), {}, {}, {}
+        self.chance, self.workers, self.requests, self.next_cold = Random(seed), {}, {}, {}
 
-    def key(self, box):
+    def key(self, endpoint):
         raise NotImplementedError
 
-    def listed(self, now, boxes):
-        for box in boxes:
-            worker = self.workers.setdefault(box, SimpleNamespace(box=box, out=0, state="", report=None))
-            worker.state = box.state
+    def listed(self, now, endpoints):
+        for endpoint in endpoints:
+            worker = self.workers.setdefault(endpoint, SimpleNamespace(endpoint=endpoint, out=0, state="", report=None))
+            worker.state = endpoint.state
 
-    def arrived(self, now, slip):
-        question = self.questions[slip] = SimpleNamespace(
-            slip=slip,
-            leaves=now + slip.patience - MARGIN,
+    def arrived(self, now, view):
+        request = self.requests[view] = SimpleNamespace(
+            view=view,
+            leaves=now + view.patience - MARGIN,
             sends=[],
             out=None,
             state=False,
@@ -39,108 +39,112 @@
             streams=False,
             closed=False,
         )
-        self.host.remind(max(1, slip.patience - MARGIN), question)
-        self.go(now, question)
+        self.host.remind(max(1, view.patience - MARGIN), request)
+        self.go(now, request)
 
-    def usable(self, now, question, roles):
+    def usable(self, now, request, roles):
         law = self.lawbook
-        for box, worker in self.workers.items():
-            cold = box.born is not None and now - box.born < law.cold_for
-            if worker.state == "ready" and box.role in roles and not (cold and now < self.next_cold.get(box, 0)):
-                yield box
-
-    def go(self, now, question):
-        if len(question.sends) >= self.permits.sends or now >= question.leaves:
-            return self.give_up(now, question)
-        readers = any(box.role == "read" for box in self.workers)
-        roles = ("write", "both") if question.state or not readers else ("read",)
-        boxes = sorted(self.usable(now, question, roles), key=lambda b: b.mark)
-        fresh = [box for box in boxes if box not in question.tried] or boxes
+        for endpoint, worker in self.workers.items():
+            cold = endpoint.born is not None and now - endpoint.born < law.cold_for
+            if (
+                worker.state == "ready"
+                and endpoint.role in roles
+                and not (cold and now < self.next_cold.get(endpoint, 0))
+            ):
+                yield endpoint
+
+    def go(self, now, request):
+        if len(request.sends) >= self.permits.sends or now >= request.leaves:
+            return self.give_up(now, request)
+        readers = any(endpoint.role == "read" for endpoint in self.workers)
+        roles = ("write", "both") if request.state or not readers else ("read",)
+        endpoints = sorted(self.usable(now, request, roles), key=lambda b: b.mark)
+        fresh = [endpoint for endpoint in endpoints if endpoint not in request.tried] or endpoints
         if not fresh:
-            return self.give_up(now, question)
-        box = self.key(fresh)
-        if box.born is not None:
-            self.next_cold[box] = now + self.lawbook.cold_window * self.routers // 4
-        send = SimpleNamespace(question=question, box=box, reads=box.role == "read", first=None)
-        question.sends.append(send)
-        question.out = send
-        self.workers[box].out += 1
-        self.host.send(question.slip, box, max(1, question.leaves - now), send)
-
-    def first_token(self, now, slip, send):
-        send.question.streams, send.question.state = True, False
-
-    def outcome(self, now, slip, send, outcome, final, kept, report):
-        question, worker = send.question, self.workers[send.box]
+            return self.give_up(now, request)
+        endpoint = self.key(fresh)
+        if endpoint.born is not None:
+            self.next_cold[endpoint] = now + self.lawbook.cold_window * self.routers // 4
+        attempt = SimpleNamespace(request=request, endpoint=endpoint, is_prefill=endpoint.role == "read", first=None)
+        request.sends.append(attempt)
+        request.out = attempt
+        self.workers[endpoint].out += 1
+        self.host.send(request.view, endpoint, max(1, request.leaves - now), attempt)
+
+    def first_token(self, now, view, attempt):
+        attempt.request.streams, attempt.request.state = True, False
+
+    def outcome(self, now, view, attempt, outcome, final, kept, report):
+        request, worker = attempt.request, self.workers[attempt.endpoint]
         worker.out -= 1
         worker.report = report or worker.report
-        question.out = None
-        if final or question.closed:
-            return self.end(question)
+        request.out = None
+        if final or request.closed:
+            return self.end(request)
         if outcome == door.READ:
-            question.state = True
+            request.state = True
         else:
-            question.tried.add(send.box)
+            request.tried.add(attempt.endpoint)
             if outcome == door.NO_STATE:
-                question.state = False
-            if not send.reads and outcome not in door.NEVER_RAN:
-                question.ran = True
-        if question.streams or (question.ran and slip.use_case.effect != "pure"):
-            return self.give_up(now, question)
-        self.go(now, question)
-
-    def give_up(self, now, question):
-        slip = question.slip
-        out_writes = question.out is not None and not question.out.reads
-        if slip.use_case.effect == "pure" or not (question.ran or out_writes):
-            self.host.turn_back(slip, min(self.permits.longest_wait, slip.use_case.promised // 2))
+                request.state = False
+            if not attempt.is_prefill and outcome not in door.NEVER_RAN:
+                request.ran = True
+        if request.streams or (request.ran and view.use_case.effect != "pure"):
+            return self.give_up(now, request)
+        self.go(now, request)
+
+    def give_up(self, now, request):
+        view = request.view
+        out_writes = request.out is not None and not request.out.is_prefill
+        if view.use_case.effect == "pure" or not (request.ran or out_writes):
+            self.host.turn_back(view, min(self.permits.longest_wait, view.use_case.promised // 2))
         else:
-            self.host.scrap(slip)
-        self.close(question)
+            self.host.scrap(view)
+        self.close(request)
 
-    def close(self, question):
-        question.closed = True
-        if question.out is not None:
-            self.host.withdraw(question.slip, question.out)
+    def close(self, request):
+        request.closed = True
+        if request.out is not None:
+            self.host.withdraw(request.view, request.out)
         else:
-            self.end(question)
+            self.end(request)
 
-    def end(self, question):
-        question.closed = True
-        self.host.let_go(question.slip)
-        self.questions.pop(question.slip, None)
+    def end(self, request):
+        request.closed = True
+        self.host.let_go(request.view)
+        self.requests.pop(request.view, None)
 
-    def left(self, now, slip):
-        if slip in self.questions:
-            self.close(self.questions[slip])
+    def left(self, now, view):
+        if view in self.requests:
+            self.close(self.requests[view])
 
-    def reminded(self, now, question):
-        if not question.closed and not question.streams:
-            self.give_up(now, question)
+    def reminded(self, now, request):
+        if not request.closed and not request.streams:
+            self.give_up(now, request)
 
-    def place(self, now, slip, box, held):
+    def place(self, now, view, endpoint, held):
         pass
 
-    def probed(self, now, box, outcome, report):
+    def probed(self, now, endpoint, outcome, report):
         pass
 
 
 class RandomChoice(Baseline):
     """Any ready worker."""
 
-    def key(self, boxes):
-        return self.chance.choice(boxes)
+    def key(self, endpoints):
+        return self.chance.choice(endpoints)
 
 
 class LeastLoaded(Baseline):
     """The worker with the fewest of our own sends and the least reported."""
 
-    def key(self, boxes):
-        def load(box):
-            worker = self.workers[box]
+    def key(self, endpoints):
+        def load(endpoint):
+            worker = self.workers[endpoint]
             return worker.out + (worker.report.held or 0 if worker.report else 0), self.chance.random()
 
-        return min(boxes, key=load)
+        return min(endpoints, key=load)
 
 
 def _module(*args, **named):
--- a/ramppulley/load/bench/decision_cost.py
+++ b/ramppulley/load/bench/decision_cost.py
@@ -23,9 +23,9 @@
 ENDPOINT_ID_BITS = 32
 NANOSECONDS_PER_MICROSECOND = 1000
 
-REQUEST_CLASS = door.UseCase(20_000, 400, DEADLINE, 600)
-POLICY_SETTINGS = door.Lawbook(20_000, 0.3, 80_000, 4.0, 30_000, 3000, 10)
-LOAD_REPORT = door.Report(held=5.0, memory_share=0.3)
+REQUEST_CLASS = door.RequestClass(20_000, 400, DEADLINE, 600)
+POLICY_SETTINGS = door.PolicySettings(20_000, 0.3, 80_000, 4.0, 30_000, 3000, 10)
+LOAD_REPORT = door.LoadReport(held=5.0, memory_share=0.3)
 
 
 @dataclass(frozen=True)
@@ -74,18 +74,18 @@
             zone=0,
             use_cases=[REQUEST_CLASS],
             accounts=[],
-            permits=door.Permits(),
+            permits=door.Capabilities(),
             lawbook=POLICY_SETTINGS,
         )
         self.router.listed(0, [self._endpoint(number) for number in range(workers)])
 
-    def _endpoint(self, number: int) -> door.Box:
+    def _endpoint(self, number: int) -> door.Endpoint:
         role = "read" if number % 2 else "write"
         endpoint_id = self.rng.getrandbits(ENDPOINT_ID_BITS)
-        return door.Box(endpoint_id, role, number // 8, number % 2, ENDPOINT_CAPACITY_TOKENS)
+        return door.Endpoint(endpoint_id, role, number // 8, number % 2, ENDPOINT_CAPACITY_TOKENS)
 
-    def _request(self) -> door.Slip:
-        return door.Slip(
+    def _request(self) -> door.RequestView:
+        return door.RequestView(
             REQUEST_CLASS,
             self.rng.randint(100, MAX_PROMPT_TOKENS),
             RESPONSE_TOKENS,
@@ -113,7 +113,7 @@
 
     def _complete(self, started: StartedAttempt) -> None:
         request, _, attempt = started
-        if attempt.reads:
+        if attempt.is_prefill:
             self.router.outcome(self.now, request, attempt, door.READ, False, 0, LOAD_REPORT)
             return
         self.router.first_token(self.now, request, attempt)
--- a/ramppulley/load/grid.py
+++ b/ramppulley/load/grid.py
@@ -22,13 +22,13 @@
 WORKERS, ROUTERS = (12, 24, 48, 72, 144), (1, 8, 64, 230)
 ASKED_EACH = 2.0  # questions a second for each worker of the fleet, all routers together
 CELL = 8  # workers of a cell
-LAW = door.Lawbook(
+LAW = door.PolicySettings(
     drain_grace=2 * S, cold_from=0.3, cold_for=14 * S, cold_multiple=4.0, cold_window=3 * S, let_go_within=3000, step=40
 )
 CASES = (
-    door.UseCase(1200 * MS, 40 * MS, 6 * S, 30 * MS, 1.0),
-    door.UseCase(2500 * MS, 40 * MS, 12 * S, 40 * MS, 0.4),
-    door.UseCase(2000 * MS, 0, 8 * S, 40 * MS, 0.8, "receipted", "cell", 8 * S),
+    door.RequestClass(1200 * MS, 40 * MS, 6 * S, 30 * MS, 1.0),
+    door.RequestClass(2500 * MS, 40 * MS, 12 * S, 40 * MS, 0.4),
+    door.RequestClass(2000 * MS, 0, 8 * S, 40 * MS, 0.8, "receipted", "cell", 8 * S),
 )
 
 
@@ -47,9 +47,9 @@
 LEAST = 12  # workers in a subset
 
 
-def usual(size, boxes):
+def usual(size, endpoints):
     """Marks of the workers that this router uses ordinarily, one of so many alike."""
-    places = [subsets.Place(b.mark, b.role, b.cell, b.zone) for b in boxes]
+    places = [subsets.Place(b.mark, b.role, b.cell, b.zone) for b in endpoints]
     peers = [subsets.Peer(f"r{n}", n % 2) for n in range(size.routers)]
     return subsets.View(peers, places, subsets.part_of(len(peers), len(places), LEAST)).subset(peers[0])
 
@@ -60,8 +60,8 @@
     def __init__(self, size, make):
         self.size, self.chance, self.now, self.heap, self.count = size, Random(size.seed), 0, [], 0
         draw = self.chance
-        self.boxes = [
-            door.Box(
+        self.endpoints = [
+            door.Endpoint(
                 mark=draw.getrandbits(32),
                 role="read" if i % 2 else "write",
                 cell=i // CELL,
@@ -70,21 +70,23 @@
             )
             for i in range(size.workers)
         ]
-        self.busy = {box: draw.uniform(0.2, 0.5) * size.load for box in self.boxes}  # share of memory, by others
-        for box in self.boxes if size.subset else ():
-            box.usual = box.mark in usual(size, self.boxes)
-        self.silent, self.sends, self.asked = self.boxes[2:3], {}, 0
+        self.busy = {
+            endpoint: draw.uniform(0.2, 0.5) * size.load for endpoint in self.endpoints
+        }  # share of memory, by others
+        for endpoint in self.endpoints if size.subset else ():
+            endpoint.usual = endpoint.mark in usual(size, self.endpoints)
+        self.silent, self.sends, self.asked = self.endpoints[2:3], {}, 0
         self.router = make(
             self,
             seed=size.seed,
             routers=size.routers,
             zone=0,
             use_cases=CASES,
-            accounts=[door.Account(ASKED_EACH * size.workers / 2)] * 2,
-            permits=door.Permits(places=True, longest_wait=2 * S),
+            accounts=[door.TenantShare(ASKED_EACH * size.workers / 2)] * 2,
+            permits=door.Capabilities(places=True, longest_wait=2 * S),
             lawbook=LAW,
         )
-        self.router.listed(0, self.boxes)
+        self.router.listed(0, self.endpoints)
         self.between = S * size.routers / (ASKED_EACH * size.workers * size.load)  # two questions of this router
         self.later(1, self.question)
 
@@ -99,17 +101,17 @@
             self.now, _, what, given = heapq.heappop(self.heap)
             what(*given)
             if self.asked >= middle and not drained:
-                drained, self.boxes[0].state = True, "draining"
-                self.router.listed(self.now, [self.boxes[0]])
+                drained, self.endpoints[0].state = True, "draining"
+                self.router.listed(self.now, [self.endpoints[0]])
                 self.silent = []
-            if self.asked >= self.size.questions and not self.router.questions:
+            if self.asked >= self.size.questions and not self.router.requests:
                 return
 
     def question(self):
         draw, self.asked = self.chance, self.asked + 1
         prompt = int(draw.lognormvariate(6.6, 0.7)) + 20
         text = draw.randrange(12)
-        slip = door.Slip(
+        view = door.RequestView(
             CASES[draw.choices((0, 1, 2), (6, 3, 1))[0]],
             prompt,
             300,
@@ -120,54 +122,54 @@
             account=draw.randrange(2),
             benefit_share=0.5,
         )
-        self.router.arrived(self.now, slip)
+        self.router.arrived(self.now, view)
         if self.asked < self.size.questions:
             self.later(draw.expovariate(1) * self.between, self.question)
 
     # What the module asks for (door.Host)
-    def send(self, slip, box, time_out, send):
-        draw, self.sends[send] = self.chance, True
-        if box in self.silent:
-            self.later(time_out, self.ends, slip, send, door.TOO_SLOW)
-        elif draw.random() < (0.1 if self.busy[box] > 0.75 else 0.01):
-            self.later(2 * MS, self.ends, slip, send, door.NO_ROOM)
-        elif send.reads:
-            self.later((15 + slip.prompt / 20) * MS * (1 + self.busy[box]), self.ends, slip, send, door.READ)
+    def send(self, view, endpoint, time_out, attempt):
+        draw, self.sends[attempt] = self.chance, True
+        if endpoint in self.silent:
+            self.later(time_out, self.ends, view, attempt, door.TOO_SLOW)
+        elif draw.random() < (0.1 if self.busy[endpoint] > 0.75 else 0.01):
+            self.later(2 * MS, self.ends, view, attempt, door.NO_ROOM)
+        elif attempt.is_prefill:
+            self.later((15 + view.prompt / 20) * MS * (1 + self.busy[endpoint]), self.ends, view, attempt, door.READ)
         else:
-            first = draw.uniform(20, 80) * MS * (1 + 3 * self.busy[box])
-            self.later(min(first, time_out), self.speaks, slip, send, first > time_out)
+            first = draw.uniform(20, 80) * MS * (1 + 3 * self.busy[endpoint])
+            self.later(min(first, time_out), self.speaks, view, attempt, first > time_out)
 
-    def speaks(self, slip, send, late):
-        if send in self.sends:
+    def speaks(self, view, attempt, late):
+        if attempt in self.sends:
             if late:
-                return self.ends(slip, send, door.TOO_SLOW)
-            self.router.first_token(self.now, slip, send)
-            self.later(self.chance.uniform(0.2, 2.0) * S, self.ends, slip, send, door.DONE)
-
-    def ends(self, slip, send, outcome):
-        if self.sends.pop(send, None):
-            box, draw = send.worker.box, self.chance
-            self.busy[box] = min(1.0, max(0.05, self.busy[box] + draw.uniform(-0.05, 0.05)))
+                return self.ends(view, attempt, door.TOO_SLOW)
+            self.router.first_token(self.now, view, attempt)
+            self.later(self.chance.uniform(0.2, 2.0) * S, self.ends, view, attempt, door.DONE)
+
+    def ends(self, view, attempt, outcome):
+        if self.sends.pop(attempt, None):
+            endpoint, draw = attempt.worker.endpoint, self.chance
+            self.busy[endpoint] = min(1.0, max(0.05, self.busy[endpoint] + draw.uniform(-0.05, 0.05)))
             report = (
                 None
                 if outcome == door.TOO_SLOW
-                else door.Report(
+                else door.LoadReport(
                     held=float(draw.randrange(5)),
-                    memory_share=None if box.role == "read" else self.busy[box],
-                    tokens_waiting=draw.uniform(0, 2000) * self.busy[box],
+                    memory_share=None if endpoint.role == "read" else self.busy[endpoint],
+                    tokens_waiting=draw.uniform(0, 2000) * self.busy[endpoint],
                 )
             )
-            kept = slip.prompt // 2 if outcome == door.READ and draw.random() < 0.9 else 0
-            self.router.outcome(self.now, slip, send, outcome, outcome == door.DONE, kept, report)
+            kept = view.prompt // 2 if outcome == door.READ and draw.random() < 0.9 else 0
+            self.router.outcome(self.now, view, attempt, outcome, outcome == door.DONE, kept, report)
 
-    def hold_place(self, slip, box):
-        self.later(3 * MS, self.placed, slip, box, self.chance.random() < 0.95)
+    def hold_place(self, view, endpoint):
+        self.later(3 * MS, self.placed, view, endpoint, self.chance.random() < 0.95)
 
-    def placed(self, slip, box, held):
-        self.router.place(self.now, slip, box, held)
+    def placed(self, view, endpoint, held):
+        self.router.place(self.now, view, endpoint, held)
 
-    def withdraw(self, slip, send):
-        self.later(2 * MS, self.ends, slip, send, door.UNDONE)
+    def withdraw(self, view, attempt):
+        self.later(2 * MS, self.ends, view, attempt, door.UNDONE)
 
     def remind(self, wait, note):
         self.later(wait, self.reminded, note)
@@ -175,16 +177,16 @@
     def reminded(self, note):
         self.router.reminded(self.now, note)
 
-    def probe(self, box):
+    def probe(self, endpoint):
         raise AssertionError("these routers may not probe")
 
-    def let_go(self, slip):
+    def let_go(self, view):
         pass
 
-    def turn_back(self, slip, come_back):
+    def turn_back(self, view, come_back):
         pass
 
-    def scrap(self, slip):
+    def scrap(self, view):
         pass
 
     def log(self, line):
--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -27,39 +27,39 @@
         self.router.due.append(self)
 
 
-class Send:
-    """One send of a question: to read there, or to write."""
+class PolicyAttempt:
+    """One attempt of a request as the decision module tracks it: a prefill, or a decode."""
 
     __slots__ = [
-        "question",
+        "request",
         "worker",
-        "reads",
+        "is_prefill",
         "unread",
         "start",
-        "first",
-        "withdrawn",
+        "first_token_at",
+        "cancelled",
         "memory",
         "ahead",
         "expected",
-        "begin_until",  # a repeat's first byte may go out so long; None is no bound
+        "first_byte_deadline",  # a repeat writes its first byte no later; None is no bound
         "__weakref__",
     ]
 
-    def __init__(self, question, worker, reads, unread, start):
-        self.question, self.worker, self.reads, self.unread = question, worker, reads, unread
-        self.start, self.first, self.withdrawn, self.begin_until = start, None, False, None
-        self.memory = question.slip.prompt + (0 if reads else question.likely)
-        self.ahead = worker.figures().ahead if worker.reads else 0
-        self.expected = worker.read_time(unread) if worker.reads else 0
+    def __init__(self, request, worker, is_prefill, unread, start):
+        self.request, self.worker, self.is_prefill, self.unread = request, worker, is_prefill, unread
+        self.start, self.first_token_at, self.cancelled, self.first_byte_deadline = start, None, False, None
+        self.memory = request.view.prompt + (0 if is_prefill else request.likely)
+        self.ahead = worker.figures().ahead if worker.can_prefill else 0
+        self.expected = worker.read_time(unread) if worker.can_prefill else 0
 
 
-class Tenant:
+class TenantUsage:
     """One paying party under one settings object: requests within its share here, and when its last ones came."""
 
-    __slots__ = "even", "seen"
+    __slots__ = "expected_count", "arrivals"
 
-    def __init__(self, even):
-        self.even, self.seen = even, deque(maxlen=64)
+    def __init__(self, expected_count):
+        self.expected_count, self.arrivals = expected_count, deque(maxlen=64)
 
 
 class Samples:
@@ -67,7 +67,7 @@
 
     >>> some = Samples(100, 2)
     >>> for at, figure in ((0, 5), (50, 1), (90, 3)): some.add(at, figure)
-    >>> some.recent(100), some.middle(149), some.recent(150), some.middle(190)
+    >>> some.recent(100), some.median(149), some.recent(150), some.median(190)
     ([1, 3], 2.0, [3], None)
     """
 
@@ -86,10 +86,10 @@
             fresh = [sample for sample in self.samples if now - sample[0] < self.span]
             self.until = fresh[0][0] + self.span if fresh else inf
             self.figures = [figure for _, figure in fresh]
-            self.half, self.even = middle(self.figures), mean(self.figures)
+            self.half, self.even = median(self.figures), mean(self.figures)
         return self.figures
 
-    def middle(self, now):
+    def median(self, now):
         if now >= self.until:
             self.recent(now)
         return self.half
@@ -103,10 +103,10 @@
 TEXTS = 1 << 14  # texts remembered for one worker, also where its memory is not told
 
 
-class Kept:
+class PrefixCache:
     """Texts that a worker has read and their tokens, oldest use first, within its memory (0 = not told).
 
-    >>> kept = Kept(100)
+    >>> kept = PrefixCache(100)
     >>> for text, tokens in (("", 50), ("a", 60), ("b", 30), ("a", 50), ("c", 30)): kept.add(text, tokens)
     >>> kept.tokens
     {'a': 60, 'c': 30}
@@ -127,8 +127,8 @@
     def clear(self):
         self.tokens, self.total = {}, 0
 
-    def of(self, slip):
-        own, shared = self.tokens.get(slip.session, 0), self.tokens.get(slip.prefix, 0)
+    def cached_tokens(self, view):
+        own, shared = self.tokens.get(view.session, 0), self.tokens.get(view.prefix, 0)
         return own if own > shared else shared
 
 
@@ -139,51 +139,62 @@
 
     >>> from types import SimpleNamespace as N
     >>> def worker(role, cell):
-    ...     return N(state="ready", writes=role != "read", box=N(role=role, cell=cell, zone=0, weight=1, mark=cell))
+    ...     endpoint = N(role=role, cell=cell, zone=0, weight=1, mark=cell)
+    ...     return N(state="ready", can_decode=role != "read", endpoint=endpoint)
     >>> roster = Roster([worker("read", 0), worker("read", 0), worker("write", 0), worker("write", 1)], 1.5)
-    >>> len(roster.readers), len(roster.writers), roster.reach, roster.short
+    >>> len(roster.prefill_workers), len(roster.decode_workers), roster.prefill_share, roster.short_groups
     (2, 2, {0: 2.0, 1: 0.0}, {1})
     """
 
     def __init__(self, workers, near):
-        ready, self.by_role, self.cells = [w for w in workers if w.state == "ready"], {}, {}
+        ready, self.by_role, self.decode_by_group = [w for w in workers if w.state == "ready"], {}, {}
         for worker in ready:
-            self.by_role.setdefault(worker.box.role, []).append(worker)
-        self.readers, self.writers = self.by_role.get("read", []), [w for w in ready if w.writes]
+            self.by_role.setdefault(worker.endpoint.role, []).append(worker)
+        self.prefill_workers, self.decode_workers = self.by_role.get("read", []), [w for w in ready if w.can_decode]
         weight = [{}, {}]
         for worker in ready:
-            part = weight[worker.writes]
-            part[worker.box.cell] = part.get(worker.box.cell, 0) + worker.box.weight
-            if worker.writes:
-                self.cells.setdefault(worker.box.cell, []).append(worker)
+            part = weight[worker.can_decode]
+            part[worker.endpoint.cell] = part.get(worker.endpoint.cell, 0) + worker.endpoint.weight
+            if worker.can_decode:
+                self.decode_by_group.setdefault(worker.endpoint.cell, []).append(worker)
         read, write = (sum(part.values()) or 1 for part in weight)
-        self.reach = {
+        self.prefill_share = {
             cell: weight[0].get(cell, 0) / read * write / (weight[1].get(cell, 0) or 1e-9)
             for cell in {**weight[0], **weight[1]}
         }
-        self.short = {cell for cell, reach in self.reach.items() if reach * near < 1}
+        self.short_groups = {cell for cell, reach in self.prefill_share.items() if reach * near < 1}
         # the part of a cell's readers that its own writers leave to others: all where those use the whole fleet's
-        spare = {cell: 1.0 if cell in self.short else max(0.1, 1 - 1 / reach) for cell, reach in self.reach.items()}
-        self.reads_drawn, self.writes_drawn = (
-            draws_of(tuple([(w.box.mark, w.box.weight, w.box.cell, w.box.zone, spare[w.box.cell]) for w in some]))
-            for some in (self.readers, self.writers)
+        spare = {
+            cell: 1.0 if cell in self.short_groups else max(0.1, 1 - 1 / reach)
+            for cell, reach in self.prefill_share.items()
+        }
+        self.prefill_orders, self.decode_orders = (
+            rendezvous_orders_of(
+                tuple(
+                    [
+                        (w.endpoint.mark, w.endpoint.weight, w.endpoint.cell, w.endpoint.zone, spare[w.endpoint.cell])
+                        for w in some
+                    ]
+                )
+            )
+            for some in (self.prefill_workers, self.decode_workers)
         )
 
     def like(self, worker):
-        return self.by_role.get(worker.box.role, [])
+        return self.by_role.get(worker.endpoint.role, [])
 
 
 MIX, MIX_MORE, WORD, LANE = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93, 0xFFFFFFFFFFFFFFFF, 128
 DRAWN_KEYS, DRAWN_LISTS = 1024, 16  # kept at once: keys of a list; lists, which routers may see at other times
 
 
-class Draws:
+class RendezvousOrders:
     """What keys draw for the workers of a list, as places in it: the same at all routers that have the list.
 
     A worker's lot is least, and so wins, as often as it is heavy. An order is made when it is first asked for.
 
-    >>> draws = Draws(((7, 1.0, 0, 0, 1.0), (8, 1.0, 0, 0, 1.0), (9, 1.0, 1, 0, 1.0)))
-    >>> draws.order(5), draws.near(5, 0), draws.other(5, 0, 0, 4)
+    >>> draws = RendezvousOrders(((7, 1.0, 0, 0, 1.0), (8, 1.0, 0, 0, 1.0), (9, 1.0, 1, 0, 1.0)))
+    >>> draws.order(5), draws.in_group(5, 0), draws.outside_group(5, 0, 0, 4)
     ((0, 1, 2), (0, 1), (2,))
     """
 
@@ -195,53 +206,53 @@
         self.ones = sum([1 << LANE * i for i in range(len(told))])
         self.marks = sum([(told[i][0] & WORD) << LANE * i for i in range(len(told))])
 
-    def parts(self, key):
-        """What `lot` draws for each, as whole numbers from 1 to 2 ** 32."""
+    def hashes(self, key):
+        """What `rendezvous_hash` draws for each, as whole numbers from 1 to 2 ** 32."""
         words = WORD * self.ones
         mixed = ((self.marks ^ key * self.ones) * MIX) & words
         mixed = ((mixed ^ (mixed >> 32 & words)) * MIX_MORE) & words
         lanes = mixed.to_bytes(LANE // 8 * len(self.told), "little")
         return [(word >> 32) + 1 for word in unpack(f"<{2 * len(self.told)}Q", lanes)[::2]]
 
-    def kept(self, key):
+    def cached(self, key):
         known = self.orders.get(key)
         if known is None:
             while len(self.orders) >= DRAWN_KEYS:
                 del self.orders[next(iter(self.orders))]
-            known = self.orders[key] = {"parts": self.parts(key)}
+            known = self.orders[key] = {"parts": self.hashes(key)}
         return known
 
-    def lots(self, key):
-        known = self.kept(key)
+    def weighted_hashes(self, key):
+        known = self.cached(key)
         if "lots" not in known:
             known["lots"] = [-log(part / 2**32) / weight for part, weight in zip(known["parts"], self.weights)]
         return known["lots"]
 
     def order(self, key):
-        known = self.kept(key)
+        known = self.cached(key)
         if "order" not in known:
             if self.alike:  # the logarithm keeps their order
                 by = known["parts"].__getitem__
                 known["order"] = tuple(sorted(range(len(self.told)), key=by, reverse=True))
             else:
-                known["order"] = tuple(sorted(range(len(self.told)), key=self.lots(key).__getitem__))
+                known["order"] = tuple(sorted(range(len(self.told)), key=self.weighted_hashes(key).__getitem__))
         return known["order"]
 
-    def near(self, key, cell):
+    def in_group(self, key, cell):
         """The places of a cell's workers."""
-        known, what = self.kept(key), (cell,)
+        known, what = self.cached(key), (cell,)
         if what not in known:
             known[what] = tuple([i for i in self.order(key) if self.told[i][2] == cell])
         return known[what]
 
-    def other(self, key, cell, zone, times):
+    def outside_group(self, key, cell, zone, times):
         """Those of other cells (of all where `cell` is None), rarer where little is left to others, and so many times
         so from another zone."""
-        known, what = self.kept(key), (cell, zone)
+        known, what = self.cached(key), (cell, zone)
         if what not in known:
             lots = [
-                lot / spare * (1 if its == zone else times)
-                for lot, (_, _, _, its, spare) in zip(self.lots(key), self.told)
+                weighted / spare * (1 if its == zone else times)
+                for weighted, (_, _, _, its, spare) in zip(self.weighted_hashes(key), self.told)
             ]
             known[what] = tuple(
                 sorted([i for i, told in enumerate(self.told) if told[2] != cell], key=lots.__getitem__)
@@ -249,20 +260,20 @@
         return known[what]
 
 
-draws_of = lru_cache(maxsize=DRAWN_LISTS)(Draws)
+rendezvous_orders_of = lru_cache(maxsize=DRAWN_LISTS)(RendezvousOrders)
 
 
-def lot(key, worker):
+def rendezvous_hash(key, worker):
     """What a key draws for one worker, from 0 to 1 evenly."""
-    mixed = ((key ^ worker.box.mark) * MIX) & WORD
+    mixed = ((key ^ worker.endpoint.mark) * MIX) & WORD
     mixed = ((mixed ^ mixed >> 32) * MIX_MORE) & WORD
     return ((mixed >> 32) + 1) / 2**32
 
 
-def busiest(many, count):
+def densest_window(many, count):
     """(how many, in which least span) of the last times of many, count at most.
 
-    >>> busiest([[0, 50, 60], [40, 55]], 3), busiest([[]], 3)
+    >>> densest_window([[0, 50, 60], [40, 55]], 3), densest_window([[]], 3)
     ((3, 20), (0, 1))
     """
     times = sorted(at for some in many for at in some)
@@ -270,19 +281,19 @@
     return count, max(1, min((b - a for a, b in zip(times, times[count:])), default=1))
 
 
-def nudged(own, told, part, most):
+def blended(own, told, part, most):
     """A figure of our own, moved towards what is told by a part of the way, and by `most` at most.
 
-    >>> nudged(0.5, 0.1, 0.5, 1), nudged(0.5, 0.1, 1, 0.25)
+    >>> blended(0.5, 0.1, 0.5, 1), blended(0.5, 0.1, 1, 0.25)
     (0.3, 0.25)
     """
     return own + max(-most, min(most, (told - own) * part))
 
 
-def middle(figures):
+def median(figures):
     """The median, None of nothing.
 
-    >>> middle([3, 1, 2]), middle([1, 2]), middle([])
+    >>> median([3, 1, 2]), median([1, 2]), median([])
     (2, 1.5, None)
     """
     if not figures:
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -98,8 +98,8 @@
         self.use_cases = [self._use_case(lane, per_k[i], pace[i]) for i, lane in enumerate(lanes)]
 
     @staticmethod
-    def _use_case(lane: Fields, promised_us_per_k: float, pace_s: float) -> door.UseCase:
-        return door.UseCase(
+    def _use_case(lane: Fields, promised_us_per_k: float, pace_s: float) -> door.RequestClass:
+        return door.RequestClass(
             promised=tenths(lane.at("AimS", number(0.001))),
             outer_limit=tenths(lane.at("GiveUpS", number(0.001))),
             benefit=float(lane.at("Credit", number(over=True))),
@@ -130,12 +130,12 @@
         """Tenants, by their place in the list."""
         tenants = fields.at("Tenants", objects, [])
         self.tenant_names = [tenant.at("Name", text, "") for tenant in tenants]
-        self.accounts = [door.Account(float(tenant.at("QuotaPerS", number()))) for tenant in tenants]
+        self.accounts = [door.TenantShare(float(tenant.at("QuotaPerS", number()))) for tenant in tenants]
 
-    def _permits(self, fields: Fields) -> door.Permits:
+    def _permits(self, fields: Fields) -> door.Capabilities:
         may_name_wait = fields.at("Bounds.RetryAfter", flag, False)
         longest_wait = fields.at("Bounds.MaxRetryAfterS", number(), 0) if may_name_wait else 0
-        return door.Permits(
+        return door.Capabilities(
             sends=int(fields.at("Bounds.SendCap", number(1, whole=True))),
             concurrent=fields.at("Bounds.MayDuplicate", flag, False),
             probes=fields.at("Bounds.Probing", flag, False) and self.how != "none",
@@ -146,8 +146,8 @@
         )
 
     @staticmethod
-    def _lawbook(fields: Fields) -> door.Lawbook:
-        return door.Lawbook(
+    def _lawbook(fields: Fields) -> door.PolicySettings:
+        return door.PolicySettings(
             drain_grace=tenths(fields.at("Rules.DrainGraceS", number())),
             cold_from=float(fields.at("Rules.ColdFrom", number(over=True))),
             cold_for=tenths(fields.at("Rules.ColdS", number()), up=True),
@@ -178,11 +178,11 @@
         """The module's instance for this profile."""
         return make(host, seed=seed, now=now, **self.of_module())
 
-    def likely_out(self, use_case: door.UseCase, cost: int | None) -> int | None:
+    def likely_out(self, use_case: door.RequestClass, cost: int | None) -> int | None:
         """The length that a hint of so much time promises, in tokens; `cost` in tenths, None where there is no hint."""
         return None if cost is None or not use_case.pace else max(1, cost // use_case.pace)
 
-    def report(self, values: Mapping[str, Any]) -> door.Report:
+    def report(self, values: Mapping[str, Any]) -> door.LoadReport:
         """A load report by the settings' own names of its fields; what is no figure is not told."""
         known = {
             name: float(v)
@@ -194,7 +194,7 @@
         }
         latency_ms = known.get("lat_ms")
         latency = None if latency_ms is None else int(latency_ms * 10)
-        return door.Report(held=known.get("rif"), latency=latency, **named)
+        return door.LoadReport(held=known.get("rif"), latency=latency, **named)
 
 
 def _key_scope(lane: Fields) -> str:
@@ -220,15 +220,15 @@
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile
-        self.boxes: dict[str, door.Box] = {}  # by id; one that another worker replaced is not in it
-        self.ids: weakref.WeakKeyDictionary[door.Box, str] = weakref.WeakKeyDictionary()  # also of those forgotten
+        self.endpoints: dict[str, door.Endpoint] = {}  # by id; one that another worker replaced is not in it
+        self.ids: weakref.WeakKeyDictionary[door.Endpoint, str] = weakref.WeakKeyDictionary()  # also of those forgotten
 
-    def update(self, entries: Iterable[WorkerEntry], whole: bool, unread: Iterable[str] = ()) -> list[door.Box]:
+    def update(self, entries: Iterable[WorkerEntry], whole: bool, unread: Iterable[str] = ()) -> list[door.Endpoint]:
         """Brings the boxes to what these entries say, and gives those that were named or ended.
 
         A whole list ends those that it does not name; `unread`: ids that it names in entries that cannot be read.
         """
-        changed: list[door.Box] = []
+        changed: list[door.Endpoint] = []
         named = set(unread)
         for entry in entries:
             changed += self._update_one(entry)
@@ -237,53 +237,60 @@
             changed += self._end_all_but(named)
         return changed
 
-    def _update_one(self, entry: WorkerEntry) -> list[door.Box]:
+    def _update_one(self, entry: WorkerEntry) -> list[door.Endpoint]:
         """The boxes that one entry changed: its own, before it one of the same id that another worker replaced."""
-        changed, box = [], self.boxes.get(entry.name)
-        if box is not None and entry.kind is not None and entry.state != "gone" and not self._is_of(box, entry.kind):
-            box.state = "gone"  # what the module knows of it holds for its role and memory: another worker begins
-            changed.append(box)
-            box = None
-        if box is None:
-            box = self._add(entry)
-        box.cell, box.zone, box.weight, box.state, box.born = (
+        changed, endpoint = [], self.endpoints.get(entry.name)
+        if (
+            endpoint is not None
+            and entry.kind is not None
+            and entry.state != "gone"
+            and not self._is_of(endpoint, entry.kind)
+        ):
+            endpoint.state = "gone"  # what the module knows of it holds for its role and memory: another worker begins
+            changed.append(endpoint)
+            endpoint = None
+        if endpoint is None:
+            endpoint = self._add(entry)
+        endpoint.cell, endpoint.zone, endpoint.weight, endpoint.state, endpoint.born = (
             entry.group,
             entry.zone,
             entry.weight,
             entry.state,
             entry.born,
         )
-        changed.append(box)
+        changed.append(endpoint)
         return changed
 
-    def _end_all_but(self, named: set[str]) -> list[door.Box]:
+    def _end_all_but(self, named: set[str]) -> list[door.Endpoint]:
         """The boxes that ended, as a whole list does not name them."""
-        ended = [box for name, box in self.boxes.items() if name not in named and box.state != "gone"]
-        for box in ended:
-            box.state = "gone"
+        ended = [
+            endpoint for name, endpoint in self.endpoints.items() if name not in named and endpoint.state != "gone"
+        ]
+        for endpoint in ended:
+            endpoint.state = "gone"
         return ended
 
     def forget(self, name: str) -> None:
         """A worker that is gone for good: one of its id that comes later is another one."""
-        del self.boxes[name]
+        del self.endpoints[name]
 
     def memory_of(self, kind: int) -> int:
         """Tokens that a worker of this kind holds; 0 where the settings do not tell."""
         memory = self.profile.memory
         return int(memory[kind]) if kind < len(memory) else 0
 
-    def _is_of(self, box: door.Box, kind: int) -> bool:
-        return (box.role, box.memory) == (self.profile.roles[kind], self.memory_of(kind))
+    def _is_of(self, endpoint: door.Endpoint, kind: int) -> bool:
+        return (endpoint.role, endpoint.memory) == (self.profile.roles[kind], self.memory_of(kind))
 
-    def _add(self, entry: WorkerEntry) -> door.Box:
+    def _add(self, entry: WorkerEntry) -> door.Endpoint:
         if entry.kind is None:
             raise ValueError(f"{entry.name}: nothing is known of a new worker without its kind")
-        box = self.boxes[entry.name] = door.Box(
+        endpoint = self.endpoints[entry.name] = door.Endpoint(
             mark=zlib.crc32(entry.name.encode()),
             role=self.profile.roles[entry.kind],
             cell=entry.group,
             zone=entry.zone,
             memory=self.memory_of(entry.kind),
         )
-        self.ids[box] = entry.name
-        return box
+        self.ids[endpoint] = entry.name
+        return endpoint
--- a/ramppulley/service/events.py
+++ b/ramppulley/service/events.py
@@ -39,70 +39,70 @@
     actions: list
 
 
-class Numbers:
+class ObjectNumbers:
     """Objects to the numbers by which a record names them, in the order of their first use.
 
     A recorder forgets what the module has forgotten; a replay keeps all, to find them by number.
     """
 
     def __init__(self, keep):
-        self.numbers, self.count, self.kept = WeakKeyDictionary(), 0, [] if keep else None
+        self.numbers, self.count, self.objects = WeakKeyDictionary(), 0, [] if keep else None
 
     def of(self, thing):
         if thing not in self.numbers:
             self.numbers[thing], self.count = self.count, self.count + 1
-            if self.kept is not None:
-                self.kept.append(thing)
+            if self.objects is not None:
+                self.objects.append(thing)
         return self.numbers[thing]
 
 
-class Names:
+class RecordedObjects:
     """How a recorder and a replay name the module's objects alike."""
 
     def __init__(self, keep=False):
-        self.boxes, self.slips, self.sends, self.notes = (Numbers(keep) for _ in range(4))
+        self.endpoints, self.views, self.attempts, self.notes = (ObjectNumbers(keep) for _ in range(4))
 
     def action(self, word, given):
         if word == "send":
-            slip, box, time_out, send = given
-            return [word, self.slips.of(slip), self.boxes.of(box), time_out, self.sends.of(send)]
+            view, endpoint, time_out, attempt = given
+            return [word, self.views.of(view), self.endpoints.of(endpoint), time_out, self.attempts.of(attempt)]
         if word == "withdraw":
-            return [word, self.slips.of(given[0]), self.sends.of(given[1])]
+            return [word, self.views.of(given[0]), self.attempts.of(given[1])]
         if word == "remind":
             return [word, given[0], self.notes.of(given[1])]
         if word == "probe":
-            return [word, self.boxes.of(given[0])]
+            return [word, self.endpoints.of(given[0])]
         if word == "hold_place":
-            return [word, self.slips.of(given[0]), self.boxes.of(given[1])]
+            return [word, self.views.of(given[0]), self.endpoints.of(given[1])]
         if word in ("let_go", "scrap"):
-            return [word, self.slips.of(given[0])]
+            return [word, self.views.of(given[0])]
         if word == "turn_back":
-            return [word, self.slips.of(given[0]), given[1]]
+            return [word, self.views.of(given[0]), given[1]]
         return [word, *given]
 
 
-class Ears:
+class RecordingHost:
     """Stands between the module and its host, writes each action down and passes it on."""
 
     def __init__(self, names, host=None):
-        self.names, self.host, self.heard = names, host, []
+        self.names, self.host, self.actions = names, host, []
 
     def __getattr__(self, word):
         def act(*given):
-            self.heard.append(self.names.action(word, given))
+            self.actions.append(self.names.action(word, given))
             if self.host is not None:
                 return getattr(self.host, word)(*given)
 
         return act
 
-    def taken(self):
-        heard, self.heard = self.heard, []
-        return heard
+    def take_actions(self):
+        actions, self.actions = self.actions, []
+        return actions
 
 
-def _slip_of(slip, use_cases):
-    told = {f.name: getattr(slip, f.name) for f in fields(slip) if f.name != "use_case"}
-    return [use_cases.index(slip.use_case), told]
+def _view_fields(view, use_cases):
+    told = {f.name: getattr(view, f.name) for f in fields(view) if f.name != "use_case"}
+    return [use_cases.index(view.use_case), told]
 
 
 class Recorder:
@@ -114,8 +114,8 @@
     def __init__(
         self, router_class, path, host, *, seed, routers, zone, use_cases, accounts, permits, lawbook, now=0, about=""
     ):
-        self.names, self.use_cases = Names(), list(use_cases)
-        self.ears = Ears(self.names, host)
+        self.names, self.use_cases = RecordedObjects(), list(use_cases)
+        self.recording_host = RecordingHost(self.names, host)
         self.encoder, self.file = msgspec.msgpack.Encoder(), gzip.open(path, "wb", compresslevel=3)
         self._put(
             Head(
@@ -131,7 +131,7 @@
             )
         )
         self.router = router_class(
-            self.ears,
+            self.recording_host,
             seed=seed,
             routers=routers,
             zone=zone,
@@ -151,41 +151,62 @@
 
     def _event(self, word, now, given, *args):
         getattr(self.router, word)(now, *args)
-        self._put(Step(word, now, given, self.ears.taken()))
+        self._put(Step(word, now, given, self.recording_host.take_actions()))
 
-    def listed(self, now, boxes):
-        self._event("listed", now, [[self.names.boxes.of(b), asdict(b)] for b in boxes], boxes)
+    def listed(self, now, endpoints):
+        self._event("listed", now, [[self.names.endpoints.of(b), asdict(b)] for b in endpoints], endpoints)
 
-    def told(self, now, boxes):
-        self._event("told", now, [[self.names.boxes.of(b), b.heard and asdict(b.heard), b.trial] for b in boxes], boxes)
+    def told(self, now, endpoints):
+        self._event(
+            "told",
+            now,
+            [[self.names.endpoints.of(b), b.heard and asdict(b.heard), b.trial] for b in endpoints],
+            endpoints,
+        )
 
-    def arrived(self, now, slip):
-        self._event("arrived", now, [self.names.slips.of(slip), *_slip_of(slip, self.use_cases)], slip)
+    def arrived(self, now, view):
+        self._event("arrived", now, [self.names.views.of(view), *_view_fields(view, self.use_cases)], view)
 
-    def first_token(self, now, slip, send):
-        self._event("first_token", now, [self.names.slips.of(slip), self.names.sends.of(send)], slip, send)
+    def first_token(self, now, view, attempt):
+        self._event("first_token", now, [self.names.views.of(view), self.names.attempts.of(attempt)], view, attempt)
 
-    def outcome(self, now, slip, send, outcome, final, kept, report):
+    def outcome(self, now, view, attempt, outcome, final, kept, report):
         self._event(
             "outcome",
             now,
-            [self.names.slips.of(slip), self.names.sends.of(send), outcome, final, kept, report and asdict(report)],
-            slip,
-            send,
+            [
+                self.names.views.of(view),
+                self.names.attempts.of(attempt),
+                outcome,
+                final,
+                kept,
+                report and asdict(report),
+            ],
+            view,
+            attempt,
             outcome,
             final,
             kept,
             report,
         )
 
-    def place(self, now, slip, box, held):
-        self._event("place", now, [self.names.slips.of(slip), self.names.boxes.of(box), held], slip, box, held)
+    def place(self, now, view, endpoint, held):
+        self._event(
+            "place", now, [self.names.views.of(view), self.names.endpoints.of(endpoint), held], view, endpoint, held
+        )
 
-    def left(self, now, slip):
-        self._event("left", now, [self.names.slips.of(slip)], slip)
+    def left(self, now, view):
+        self._event("left", now, [self.names.views.of(view)], view)
 
-    def probed(self, now, box, outcome, report):
-        self._event("probed", now, [self.names.boxes.of(box), outcome, report and asdict(report)], box, outcome, report)
+    def probed(self, now, endpoint, outcome, report):
+        self._event(
+            "probed",
+            now,
+            [self.names.endpoints.of(endpoint), outcome, report and asdict(report)],
+            endpoint,
+            outcome,
+            report,
+        )
 
     def reminded(self, now, what):
         self._event("reminded", now, [self.names.notes.of(what)], what)
--- a/ramppulley/service/naming.py
+++ b/ramppulley/service/naming.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from ramppulley.door import UseCase
+from ramppulley.door import RequestClass
 from ramppulley.service.clock import TENTHS
 from ramppulley.service.neutral import CHAT, COMPLETION, RERANK
 
@@ -62,7 +62,7 @@
     return naming.by_model.get(model) or naming.by_kind.get(kind) or naming.fallback
 
 
-def patience_of(naming: Naming, metadata: Mapping[str, str], use_case: UseCase, prompt: int) -> int:
+def patience_of(naming: Naming, metadata: Mapping[str, str], use_case: RequestClass, prompt: int) -> int:
     """Tenths of a millisecond until the client leaves: its own word, else the outer limit (twice the promise's slope)."""
     outer = use_case.outer_limit + 2 * use_case.promised_per_k * prompt // 1000
     told = metadata.get(naming.patience_header)
--- a/ramppulley/service/neutral.py
+++ b/ramppulley/service/neutral.py
@@ -53,12 +53,12 @@
 
 
 @dataclass(frozen=True)
-class Ending:
+class FinalAnswer:
     """The one final answer."""
 
-    how: str
+    result: str  # COMPLETED, REJECTED, FAILED or CLIENT_LEFT
     retryable: bool  # trying again is harmless
-    why: str = ""
+    reason: str = ""
     retry_after: int = 0  # time after which it may be tried again; 0 = not named
     status: int = 200  # of the engine's own answer, where that is the answer
     streamed: bool = False  # tokens were passed on before
@@ -75,12 +75,12 @@
 
 
 @dataclass(frozen=True)
-class End:
-    """How a send ended, by what that proves (`engines.proof`)."""
+class AttemptResult:
+    """How an attempt ended: the outcome that `engines.proof` derives, with what the engine reported."""
 
     outcome: str  # one of door's
-    why: str = ""
-    report: door.Report | None = None
+    reason: str = ""
+    report: door.LoadReport | None = None
     usage: Usage | None = None
     state: Any = None  # after a read: what names the waiting state to a writer
     status: int = 200  # of an answer that the engine gave and the client gets as it is
@@ -88,26 +88,26 @@
 
 
 @dataclass(eq=False)
-class Out:
-    """One send while it is out."""
+class EngineAttempt:
+    """One attempt of a request at a worker, as the core and an engine connector see it."""
 
-    life: Any
-    box: door.Box
-    send: Any  # the module's
+    tracked: Any
+    endpoint: door.Endpoint
+    policy_attempt: Any  # the decision module's PolicyAttempt
     number: int
-    reads: bool
+    is_prefill: bool
     time_out: int
     started: int
-    state: Any = None  # to be fetched by this send
-    begin_until: int | None = None  # its first byte may go out so long
-    first: int | None = None
-    withdrawn: bool = False
+    state: Any = None  # KV state that this attempt fetches
+    first_byte_deadline: int | None = None  # its first byte may not be written later
+    first_token_at: int | None = None
+    cancelled: bool = False
     ended: bool = False
     task: Any = None  # the connector's
-    end: tuple[int, End] | None = None  # (when, End)
+    result: tuple[int, AttemptResult] | None = None  # (time, result)
     stage: str = ""  # how far it came, by the connector
     connections: Any = None  # its worker's, by the connector
-    listed: Any = None  # what the list said of the worker when it was chosen, by the connector
+    listed_state: Any = None  # what the list said of the worker when it was chosen, by the connector
     remaining: int = 0  # of `time_out`, when its first byte was about to be written
 
 
@@ -120,34 +120,34 @@
 
 
 @dataclass(eq=False)
-class Life:
-    """One question from taken to its final answer and its last outcome."""
+class TrackedRequest:
+    """One request from its acceptance to its final answer and the result of its last attempt."""
 
     request: InferenceRequest
-    slip: door.Slip
+    view: door.RequestView
     sink: Any
-    taken: int
-    outs: list[Out] = field(default_factory=list)
-    state: Any = None  # waiting at `held_at`
-    held_at: door.Box | None = None
+    accepted_at: int
+    attempts: list[EngineAttempt] = field(default_factory=list)
+    state: Any = None  # waiting at `state_endpoint`
+    state_endpoint: door.Endpoint | None = None
     held_since: int = 0  # when a worker answered last, that holds it or refused it
     release_asked: bool = False  # for `state`, beside a decode that is out
     kv_events: list[KvEvent] = field(default_factory=list)
-    place: door.Box | None = None
-    placed: int | None = None  # when the place was told to be held
-    first: int | None = None
-    ended: int | None = None
-    ending: Ending | None = None
+    reserved_endpoint: door.Endpoint | None = None
+    reserved_at: int | None = None  # when the engine confirmed the reservation
+    first_token_at: int | None = None
+    ended_at: int | None = None
+    final_answer: FinalAnswer | None = None
     usage: Usage | None = None
 
     @property
-    def out(self) -> list[Out]:
+    def open_attempts(self) -> list[EngineAttempt]:
         """Its attempts that have no outcome yet."""
-        return [out for out in self.outs if not out.ended]
+        return [attempt for attempt in self.attempts if not attempt.ended]
 
 
-class Sink(Protocol):
-    """The front's side of one question."""
+class ResponseSink(Protocol):
+    """The front's side of one request."""
 
     async def piece(self, data: bytes) -> None:
         """Passes one event's data on; returns when the client's socket took it. Raises OSError: the client left."""
@@ -155,15 +155,16 @@
     def gone(self) -> bool:
         """Whether nobody waits for an answer any more; asked just before each attempt's first byte."""
 
-    def final(self, ending: Ending) -> None:
+    def final(self, ending: FinalAnswer) -> None:
         """Called exactly once, and nothing after it."""
 
 
 class Connector(Protocol):
-    """The engines' side. Reports by Core.first, Core.ended, Core.placed and Core.probed, never from within a call."""
-
-    def start(self, core: Any, out: Out) -> None: ...
-    def cancel(self, out: Out) -> None: ...
-    def reserve(self, core: Any, life: Life, box: door.Box) -> None: ...
-    def release(self, life: Life, box: door.Box | None, state: Any) -> None: ...
-    def probe(self, core: Any, box: door.Box) -> None: ...
+    """The engines' side. Reports by Core.first_token, Core.attempt_ended, Core.reservation_answered and Core.probed, never
+    from within a call."""
+
+    def start(self, core: Any, attempt: EngineAttempt) -> None: ...
+    def cancel(self, attempt: EngineAttempt) -> None: ...
+    def reserve(self, core: Any, tracked: TrackedRequest, endpoint: door.Endpoint) -> None: ...
+    def release(self, tracked: TrackedRequest, endpoint: door.Endpoint | None, state: Any) -> None: ...
+    def probe(self, core: Any, endpoint: door.Endpoint) -> None: ...
--- a/ramppulley/service/switchboard.py
+++ b/ramppulley/service/switchboard.py
@@ -23,7 +23,7 @@
         return self.pending() < self.most
 
     def pending(self):
-        return sum(len(core.lives) for core in self.cores.values())
+        return sum(len(core.requests) for core in self.cores.values())
 
     def ready(self):
         """Whether any pool has a worker to send to."""
@@ -38,8 +38,8 @@
         pending = GaugeMetricFamily("ramppulley_pending", "Questions taken and not yet done with.", labels=["pool"])
         workers = GaugeMetricFamily("ramppulley_workers", "Workers on the list.", labels=["pool", "state"])
         for pool, core in self.cores.items():
-            taken.add_metric([pool], core.taken)
-            pending.add_metric([pool], len(core.lives))
+            taken.add_metric([pool], core.accepted)
+            pending.add_metric([pool], len(core.requests))
             states = [worker.state for worker in core.router.workers.values()]
             for state in ("ready", "draining", "gone"):
                 workers.add_metric([pool, state], states.count(state))
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -8,7 +8,7 @@
 
 def caged():
     """Never looks beyond its subset."""
-    rules.Question.roster = property(lambda question: question.router.usual)
+    rules.PolicyRequest.roster = property(lambda question: question.router.usual)
 
 
 def unguarded():
@@ -110,7 +110,7 @@
 
 def gullible():
     """Believes all that it hears of a worker's load, without bound."""
-    rules.nudged = lambda own, told, part, most: told
+    rules.blended = lambda own, told, part, most: told
 
 
 def careless():
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -68,14 +68,14 @@
     """What is held is never released."""
     from ramppulley.engines.platform.releases import KvReleases
 
-    replace(KvReleases, "owe", lambda self, life, delay_s: None)
+    replace(KvReleases, "owe", lambda self, tracked, delay_s: None)
 
 
 def release_waits() -> None:
     """A release waits for a decode that may never have arrived."""
-    from ramppulley.rules import Question
+    from ramppulley.rules import PolicyRequest
 
-    replace(Question, "on_unanswered", lambda self, send: None)
+    replace(PolicyRequest, "on_unanswered", lambda self, send: None)
 
 
 def whole_deadline_told() -> None:
@@ -85,7 +85,7 @@
     build = PlatformConnector._build_request
 
     def told_all(self: Any, attempt: Any, connections: Any) -> bytes:
-        attempt.remaining = attempt.life.request.deadline + 3_000
+        attempt.remaining = attempt.tracked.request.deadline + 3_000
         return build(self, attempt, connections)
 
     replace(PlatformConnector, "_build_request", told_all)
@@ -158,7 +158,7 @@
     send_ending = PlatformFront._send_ending
 
     async def silent(self: Any, connection: Any, stream: Any, ending: Any, keep_alive: bool) -> bool:
-        if ending.how != COMPLETED:
+        if ending.result != COMPLETED:
             return False
         return await send_ending(self, connection, stream, ending, keep_alive)
 
@@ -193,15 +193,15 @@
 def repeats_late() -> None:
     """A guarded class is repeated whenever there is time left, after a pause."""
     from ramppulley.engines.platform.connector import PlatformConnector
-    from ramppulley.rules import Question
+    from ramppulley.rules import PolicyRequest
     from ramppulley.service.core import Core
 
-    replace(Core, "window_over", lambda self, out: False)
-    replace(Question, "may_run_at", lambda self, worker: not self.out)
+    replace(Core, "window_over", lambda self, attempt: False)
+    replace(PolicyRequest, "may_run_at", lambda self, worker: not self.out)
     before = PlatformConnector._before_first_byte
 
     async def late(self: Any, attempt: Any) -> None:
-        if attempt.reads and any(not earlier.reads for earlier in attempt.life.outs[:-1]):
+        if attempt.is_prefill and any(not earlier.is_prefill for earlier in attempt.tracked.attempts[:-1]):
             await asyncio.sleep(1.1)  # the prompt is read again, late
         await before(self, attempt)
 
@@ -216,22 +216,24 @@
 
     def twice(self: Any, core: Any, attempt: Any) -> None:
         start(self, core, attempt)
-        if attempt.reads:
+        if attempt.is_prefill:
             others = [
-                box for box in self.workers if box.role == "read" and box.state == "ready" and box is not attempt.box
+                endpoint
+                for endpoint in self.workers
+                if endpoint.role == "read" and endpoint.state == "ready" and endpoint is not attempt.endpoint
             ]
-            for box in others[:1]:
-                self._spawn(self._shadow(attempt, box))
+            for endpoint in others[:1]:
+                self._spawn(self._shadow(attempt, endpoint))
 
-    async def shadow(self: Any, attempt: Any, box: Any) -> None:
+    async def shadow(self: Any, attempt: Any, endpoint: Any) -> None:
         from ramppulley.wire import http
 
-        transport = await self.workers[box].connections.acquire(0.5)
+        transport = await self.workers[endpoint].connections.acquire(0.5)
         await transport.send(self._build_request(attempt, None))
         parser = http.AnswerParser(1 << 16)
         while not parser.done:
             parser.feed(await transport.receive())
-        self.workers[box].connections.discard(transport)
+        self.workers[endpoint].connections.discard(transport)
 
     setattr(PlatformConnector, "_shadow", shadow)  # noqa: B010 - it has none
     replace(PlatformConnector, "start", twice)
@@ -243,9 +245,9 @@
 
     release: Any = Core._release
 
-    def once(self: Any, life: Any) -> None:
-        release(self, life)
-        life.state = life.held_at = None
+    def once(self: Any, tracked: Any) -> None:
+        release(self, tracked)
+        tracked.state = tracked.state_endpoint = None
 
     replace(Core, "_release", once)
 
@@ -254,7 +256,7 @@
     """A release behind an attempt that was given up is never repeated."""
     from ramppulley.engines.platform.releases import KvReleases
 
-    replace(KvReleases, "given_up", lambda self, life, box: None)
+    replace(KvReleases, "given_up", lambda self, tracked, endpoint: None)
 
 
 def begins_for_nobody() -> None:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -34,7 +34,7 @@
 
 class Host:
     def __init__(self, world, routers):
-        self.world, self.boxes = world, {}
+        self.world, self.endpoints = world, {}
         self.router = Router(
             self,
             seed=world.random.getrandbits(32),
@@ -42,7 +42,7 @@
             zone=0,
             use_cases=[world.case],
             accounts=[],
-            permits=door.Permits(probes=True, longest_wait=S // 2),
+            permits=door.Capabilities(probes=True, longest_wait=S // 2),
             lawbook=LAW,
             now=world.now,
         )
@@ -50,19 +50,19 @@
     def told(self, marks, state="ready"):
         for mark in marks:
             server = self.world.servers[mark]
-            box = door.Box(mark, server.role, cell=mark % 4, zone=0, memory=440_000, born=server.born)
-            self.boxes.setdefault(mark, box).state = state
-        self.router.listed(self.world.now, [self.boxes[mark] for mark in marks])
+            endpoint = door.Endpoint(mark, server.role, cell=mark % 4, zone=0, memory=440_000, born=server.born)
+            self.endpoints.setdefault(mark, endpoint).state = state
+        self.router.listed(self.world.now, [self.endpoints[mark] for mark in marks])
 
-    def send(self, slip, box, time_out, send):
-        self.world.sent(self, slip, box, send)
+    def send(self, view, endpoint, time_out, attempt):
+        self.world.sent(self, view, endpoint, attempt)
 
-    def probe(self, box):
-        waiting = max(0, self.world.servers[box.mark].free - self.world.now) / S * PACE
+    def probe(self, endpoint):
+        waiting = max(0, self.world.servers[endpoint.mark].free - self.world.now) / S * PACE
         self.world.after(
             20,
             lambda: self.router.probed(
-                self.world.now, box, door.DONE, door.Report(memory_share=0.1, tokens_waiting=waiting)
+                self.world.now, endpoint, door.DONE, door.LoadReport(memory_share=0.1, tokens_waiting=waiting)
             ),
         )
 
@@ -81,7 +81,7 @@
     def __init__(self, seed, routers, load=1.0, cold=0.6, workers=16, at=8 * S, forgetful=0):
         super().__init__()
         self.random = Random(seed)
-        self.case = door.UseCase(12_000, 840, 75_000, 650)
+        self.case = door.RequestClass(12_000, 840, 75_000, 650)
         self.servers = {
             mark: Server("read" if mark < 1000 else "write")
             for mark in [*range(1, workers + 1), *range(1001, workers + 1001)]
@@ -100,10 +100,10 @@
     def arrivals(self, i, rate):
         def arrive():
             rest = self.random.lognormvariate(log(MEAN - SHARED) - SPREAD**2 / 2, SPREAD)
-            slip = door.Slip(
+            view = door.RequestView(
                 self.case, min(SHARED + int(rest), 61_000), 300, 6 * S, f"s{next(self.order)}", likely_out=60
             )
-            self.hosts[i].router.arrived(self.now, slip)
+            self.hosts[i].router.arrived(self.now, view)
             self.after(self.random.expovariate(rate) * S, arrive)
 
         self.after(self.random.expovariate(rate) * S, arrive)
@@ -120,26 +120,26 @@
 
     def restart(self, i):
         """That router starts over with its list: what comes for the old one is nothing to the new one."""
-        known, self.hosts[i] = self.hosts[i].boxes, Host(self, len(self.hosts))
-        for mark, box in known.items():
-            self.hosts[i].told([mark], box.state)
+        known, self.hosts[i] = self.hosts[i].endpoints, Host(self, len(self.hosts))
+        for mark, endpoint in known.items():
+            self.hosts[i].told([mark], endpoint.state)
 
-    def sent(self, host, slip, box, send):
-        server = self.servers[box.mark]
-        server.sent.append((self.now, slip.prompt / MEAN))
+    def sent(self, host, view, endpoint, attempt):
+        server = self.servers[endpoint.mark]
+        server.sent.append((self.now, view.prompt / MEAN))
 
         def ends(outcome, closed):
-            if send in send.question.out:
-                host.router.outcome(self.now, slip, send, outcome, closed or send.question.closed, 0, None)
+            if attempt in attempt.request.open_attempts:
+                host.router.outcome(self.now, view, attempt, outcome, closed or attempt.request.closed, 0, None)
 
         if server.role == "read":
-            server.free = max(server.free, self.now) + int(slip.prompt / (PACE * server.part(self.now)) * S)
+            server.free = max(server.free, self.now) + int(view.prompt / (PACE * server.part(self.now)) * S)
             self.after(server.free - self.now, lambda: ends(door.READ, False))
         else:
 
             def begins():
-                if send in send.question.out and not send.question.closed:
-                    host.router.first_token(self.now, slip, send)
+                if attempt in attempt.request.open_attempts and not attempt.request.closed:
+                    host.router.first_token(self.now, view, attempt)
                     self.after(4000, lambda: ends(door.DONE, True))
                 else:
                     ends(door.UNDONE, False)
--- a/tests/fairness_fleet.py
+++ b/tests/fairness_fleet.py
@@ -35,14 +35,14 @@
 
 
 def request_class(target_ms=1200, target_per_1000_ms=0, value=1.0):
-    return door.UseCase(target_ms * MS, target_per_1000_ms * MS, 15 * S // 2, 65 * MS, value)
+    return door.RequestClass(target_ms * MS, target_per_1000_ms * MS, 15 * S // 2, 65 * MS, value)
 
 
 @dataclass(eq=False)
 class Request:
     """What one client wants, through all its tries."""
 
-    case: door.UseCase
+    case: door.RequestClass
     session: str
     prompt: int
     sent: int
@@ -77,8 +77,8 @@
             part = min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (self.world.now - self.born) / LAW.cold_for)
         return TOKENS_PER_S * part / (SLOW_BY if self.fault == SLOW else 1)
 
-    def unread(self, slip):
-        return max(1, slip.prompt - max(self.cached.get(slip.session, 0), self.cached.get(slip.prefix, 0)))
+    def unread(self, view):
+        return max(1, view.prompt - max(self.cached.get(view.session, 0), self.cached.get(view.prefix, 0)))
 
     def take(self, attempt):
         if self.fault == FULL:
@@ -90,15 +90,15 @@
     def start_next(self):
         if self.running is None and self.queue:
             attempt = self.running = self.queue.popleft()
-            self.world.after(self.unread(attempt.slip) / self.pace() * S, lambda: self.finish(attempt))
+            self.world.after(self.unread(attempt.view) / self.pace() * S, lambda: self.finish(attempt))
 
     def finish(self, attempt):
         if self.running is attempt:
-            slip = attempt.slip
-            kept = slip.prompt - self.unread(slip)
-            self.cached[slip.session] = slip.prompt
-            if slip.prefix:
-                self.cached[slip.prefix] = slip.prefix_tokens
+            view = attempt.view
+            kept = view.prompt - self.unread(view)
+            self.cached[view.session] = view.prompt
+            if view.prefix:
+                self.cached[view.prefix] = view.prefix_tokens
             self.running = None
             attempt.ends(door.READ, kept)
             self.start_next()
@@ -111,10 +111,10 @@
             self.start_next()
 
     def report(self):
-        waiting = sum(self.unread(attempt.slip) for attempt in [*self.queue, *filter(None, [self.running])])
+        waiting = sum(self.unread(attempt.view) for attempt in [*self.queue, *filter(None, [self.running])])
         if self.fault == FALSE_QUEUE:
             waiting += 20 * TOKENS_PER_S
-        return door.Report(memory_share=0.1, tokens_waiting=waiting)
+        return door.LoadReport(memory_share=0.1, tokens_waiting=waiting)
 
 
 class DecodeWorker:
@@ -132,15 +132,15 @@
         pass
 
     def report(self):
-        return door.Report(memory_share=1.0 if self.fault == FALSE_QUEUE else 0.1, tokens_waiting=0)
+        return door.LoadReport(memory_share=1.0 if self.fault == FALSE_QUEUE else 0.1, tokens_waiting=0)
 
 
 class Attempt:
     """One send of the module's, at one worker, until it has its outcome."""
 
-    def __init__(self, host, slip, box, send, time_out):
-        self.host, self.slip, self.send, self.over = host, slip, send, False
-        self.worker = host.world.workers[box.mark]
+    def __init__(self, host, view, endpoint, send, time_out):
+        self.host, self.view, self.send, self.over = host, view, send, False
+        self.worker = host.world.workers[endpoint.mark]
         self.worker.take(self)
         host.world.after(time_out, lambda: self.stops(door.TOO_SLOW))
 
@@ -151,22 +151,22 @@
 
     def first_token(self, rest):
         if not self.over:
-            self.host.answers(self.slip, self.send)
+            self.host.answers(self.view, self.send)
             self.host.world.after(rest, lambda: self.ends(door.DONE))
 
     def ends(self, outcome, kept=0):
         if not self.over:
             self.over = True
-            closed = outcome == door.DONE or self.send.question.closed
+            closed = outcome == door.DONE or self.send.request.closed
             report = self.worker.report() if not self.host.world.probes and outcome != door.TOO_SLOW else None
-            self.host.router.outcome(self.host.world.now, self.slip, self.send, outcome, closed, kept, report)
+            self.host.router.outcome(self.host.world.now, self.view, self.send, outcome, closed, kept, report)
 
 
 class Host:
     """One router and what it acts on."""
 
     def __init__(self, world, seed, routers, cases, tenants):
-        self.world, self.boxes, self.attempts, self.requests = world, {}, {}, {}
+        self.world, self.endpoints, self.attempts, self.requests = world, {}, {}, {}
         self.router = Router(
             self,
             seed=seed,
@@ -174,23 +174,25 @@
             zone=0,
             use_cases=cases,
             accounts=tenants,
-            permits=door.Permits(probes=world.probes, longest_wait=S // 2),
+            permits=door.Capabilities(probes=world.probes, longest_wait=S // 2),
             lawbook=LAW,
         )
 
     def told(self, marks, state="ready"):
         for mark in marks:
             worker = self.world.workers[mark]
-            if mark not in self.boxes:
+            if mark not in self.endpoints:
                 role, born = ("read", worker.born) if isinstance(worker, PrefillWorker) else ("write", None)
-                self.boxes[mark] = door.Box(mark, role, mark % self.world.groups, zone=0, memory=440_000, born=born)
-            self.boxes[mark].state = state
-        self.router.listed(self.world.now, [self.boxes[mark] for mark in marks])
+                self.endpoints[mark] = door.Endpoint(
+                    mark, role, mark % self.world.groups, zone=0, memory=440_000, born=born
+                )
+            self.endpoints[mark].state = state
+        self.router.listed(self.world.now, [self.endpoints[mark] for mark in marks])
 
     def arrives(self, request):
         """Another try of this request."""
         deadline = request.sent + DEADLINE - self.world.now
-        slip = door.Slip(
+        view = door.RequestView(
             request.case,
             request.prompt,
             300,
@@ -202,40 +204,40 @@
             account=request.tenant,
             benefit_share=request.value_over_share,
         )
-        self.requests[slip] = request
-        self.router.arrived(self.world.now, slip)
+        self.requests[view] = request
+        self.router.arrived(self.world.now, view)
 
-    def answers(self, slip, send):
-        if send.question.closed:
+    def answers(self, view, send):
+        if send.request.closed:
             return
-        self.router.first_token(self.world.now, slip, send)
-        self.requests[slip].answered = self.world.now
+        self.router.first_token(self.world.now, view, send)
+        self.requests[view].answered = self.world.now
 
     # What the module asks for.
-    def send(self, slip, box, time_out, send):
-        self.attempts[send] = Attempt(self, slip, box, send, time_out)
+    def send(self, view, endpoint, time_out, send):
+        self.attempts[send] = Attempt(self, view, endpoint, send, time_out)
 
-    def withdraw(self, slip, send):
+    def withdraw(self, view, send):
         self.world.after(MS, lambda: self.attempts[send].stops(door.UNDONE))
 
-    def turn_back(self, slip, come_back):
-        self.world.refused(self.requests[slip], come_back)
+    def turn_back(self, view, come_back):
+        self.world.refused(self.requests[view], come_back)
 
-    def probe(self, box):
-        worker = self.world.workers[box.mark]
+    def probe(self, endpoint):
+        worker = self.world.workers[endpoint.mark]
         if worker.fault == SILENT:
-            self.world.after(S // 2, lambda: self.router.probed(self.world.now, box, door.TOO_SLOW, None))
+            self.world.after(S // 2, lambda: self.router.probed(self.world.now, endpoint, door.TOO_SLOW, None))
         else:
             report = worker.report()
-            self.world.after(2 * MS, lambda: self.router.probed(self.world.now, box, door.DONE, report))
+            self.world.after(2 * MS, lambda: self.router.probed(self.world.now, endpoint, door.DONE, report))
 
     def remind(self, wait, note):
         self.world.after(wait, lambda: self.router.reminded(self.world.now, note))
 
-    def let_go(self, slip):
+    def let_go(self, view):
         pass
 
-    def scrap(self, slip):
+    def scrap(self, view):
         pass
 
     def log(self, line):
@@ -246,7 +248,7 @@
 class Traffic:
     """Sessions of one class and tenant; `load` is a part of what all prefill workers can read when warm."""
 
-    case: door.UseCase
+    case: door.RequestClass
     load: float
     turns: tuple = (1,)  # how many a session may have; each turn's prompt begins with what was there before
     prefix: str = ""
@@ -271,7 +273,7 @@
 
 def tenants_of(load):
     rate = load * WORKERS * TOKENS_PER_S / MEAN_PROMPT
-    return [door.Account(0.1 * rate), door.Account(0.9 * rate)]
+    return [door.TenantShare(0.1 * rate), door.TenantShare(0.9 * rate)]
 
 
 def one_prefix(load, *target):
@@ -366,10 +368,12 @@
 def preferred_worker(world, role, session, prefix=""):
     """Whom the rendezvous hash picks: the decode worker for the session, the prefill worker of its group for the text."""
     roster = world.hosts[0].router.roster
-    decode = roster.writers[roster.writes_drawn.order(crc32(f"{session} 0".encode()))[0]].box
+    decode = roster.decode_workers[roster.decode_orders.order(crc32(f"{session} 0".encode()))[0]].endpoint
     if role == "decode":
         return decode.mark
-    return roster.readers[roster.reads_drawn.near(crc32((prefix or session).encode()), decode.cell)[0]].box.mark
+    return roster.prefill_workers[
+        roster.prefill_orders.in_group(crc32((prefix or session).encode()), decode.cell)[0]
+    ].endpoint.mark
 
 
 def answered_share(requests):
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -18,10 +18,10 @@
 
 
 class FakeHost:
-    def __init__(self, boxes, effect="pure", group="all", routers=2, seed=1, accounts=(), **permits):
-        self.asked, self.lines, self.timers, self.now, self.boxes = [], [], [], 0, boxes
+    def __init__(self, endpoints, effect="pure", group="all", routers=2, seed=1, accounts=(), **permits):
+        self.asked, self.lines, self.timers, self.now, self.endpoints = [], [], [], 0, endpoints
         self.count = count()
-        self.case = door.UseCase(12_000, 400, 60_000, 600, 1.0, effect, group, 5 * S)
+        self.case = door.RequestClass(12_000, 400, 60_000, 600, 1.0, effect, group, 5 * S)
         self.router = Router(
             self,
             seed=seed,
@@ -29,13 +29,13 @@
             zone=0,
             use_cases=[self.case],
             accounts=list(accounts),
-            permits=door.Permits(**permits),
-            lawbook=door.Lawbook(**LAW),
+            permits=door.Capabilities(**permits),
+            lawbook=door.PolicySettings(**LAW),
         )
-        self.router.listed(0, boxes)
+        self.router.listed(0, endpoints)
 
-    def send(self, slip, box, time_out, send):
-        self.asked.append(("send", slip, box, send))
+    def send(self, view, endpoint, time_out, attempt):
+        self.asked.append(("send", view, endpoint, attempt))
 
     def __getattr__(self, word):
         return lambda *parts: self.asked.append((word, *parts))
@@ -48,21 +48,21 @@
 
     # What a story says
     def ask(self, prompt=1000, patience=60_000, session="a", prefix="", prefix_tokens=0, case=None, **more):
-        slip = door.Slip(case or self.case, prompt, 300, patience, session, prefix, prefix_tokens, **more)
-        self.router.arrived(self.now, slip)
-        return slip
+        view = door.RequestView(case or self.case, prompt, 300, patience, session, prefix, prefix_tokens, **more)
+        self.router.arrived(self.now, view)
+        return view
 
-    def told(self, word, slip=None):
-        return [a for a in self.asked if a[0] == word and (slip is None or a[1] is slip)]
+    def told(self, word, view=None):
+        return [a for a in self.asked if a[0] == word and (view is None or a[1] is view)]
 
-    def last(self, slip):
-        return self.told("send", slip)[-1]
+    def last(self, view):
+        return self.told("send", view)[-1]
 
-    def ends(self, slip, outcome, final=False, kept=0, report=None):
-        self.router.outcome(self.now, slip, self.last(slip)[3], outcome, final, kept, report)
+    def ends(self, view, outcome, final=False, kept=0, report=None):
+        self.router.outcome(self.now, view, self.last(view)[3], outcome, final, kept, report)
 
-    def first(self, slip):
-        self.router.first_token(self.now, slip, self.last(slip)[3])
+    def first(self, view):
+        self.router.first_token(self.now, view, self.last(view)[3])
 
     def wait(self, span):
         until = self.now + span
@@ -74,12 +74,14 @@
         self.now = until
 
 
-def box(mark, role, cell=0, **more):
-    return door.Box(mark=mark, role=role, cell=cell, zone=more.pop("zone", 0), memory=100_000, **more)
+def endpoint(mark, role, cell=0, **more):
+    return door.Endpoint(mark=mark, role=role, cell=cell, zone=more.pop("zone", 0), memory=100_000, **more)
 
 
 def fleet():
     """Two cells, each with two readers and two writers."""
     return [
-        box(10 * cell + n, role, cell) for cell in (0, 1) for n, role in enumerate(("read", "read", "write", "write"))
+        endpoint(10 * cell + n, role, cell)
+        for cell in (0, 1)
+        for n, role in enumerate(("read", "read", "write", "write"))
     ]
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -135,8 +135,8 @@
 
     async def settled(self):
         """Nothing is held for any question, here or at the workers."""
-        await self.until(lambda: not self.yard and not self.node.core.lives and not self.node.engines.tasks)
-        assert not self.node.core.router.questions
+        await self.until(lambda: not self.yard and not self.node.core.requests and not self.node.engines.tasks)
+        assert not self.node.core.router.requests
         assert not self.node.engines.releases.owed and not self.node.engines.releases.running
 
 
@@ -211,19 +211,19 @@
         self.told, self.reports = [], []
         Heard.made.append((self, {k: v for k, v in given.items() if k not in ("seed", "now")}))
 
-    def arrived(self, now, slip):
-        self.told.append(("arrived", {k: v for k, v in vars(slip).items() if k != "patience"}))
-        super().arrived(now, slip)
+    def arrived(self, now, view):
+        self.told.append(("arrived", {k: v for k, v in vars(view).items() if k != "patience"}))
+        super().arrived(now, view)
 
-    def first_token(self, now, slip, send):
-        self.told.append(("first", send.worker.box.role))
-        super().first_token(now, slip, send)
+    def first_token(self, now, view, send):
+        self.told.append(("first", send.worker.endpoint.role))
+        super().first_token(now, view, send)
 
-    def outcome(self, now, slip, send, outcome, final, kept, report):
-        self.told.append((outcome, send.worker.box.role, final, kept))
+    def outcome(self, now, view, send, outcome, final, kept, report):
+        self.told.append((outcome, send.worker.endpoint.role, final, kept))
         self.reports.append(report)
-        super().outcome(now, slip, send, outcome, final, kept, report)
+        super().outcome(now, view, send, outcome, final, kept, report)
 
-    def probed(self, now, box, outcome, report):
+    def probed(self, now, endpoint, outcome, report):
         self.told.append(("probed", outcome, report))
-        super().probed(now, box, outcome, report)
+        super().probed(now, endpoint, outcome, report)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -72,7 +72,7 @@
             await asyncio.sleep(0.02)
         assert not self.board.pending()
         assert not self.fleet.yard.states
-        assert not any(core.router.questions for core in self.board.cores.values())
+        assert not any(core.router.requests for core in self.board.cores.values())
 
     def of(self, *what):
         return [entry for entry in self.fleet.ledger if entry.what in what]
--- a/tests/rules_rig.py
+++ b/tests/rules_rig.py
@@ -5,7 +5,7 @@
 from ramppulley import door
 
 
-def read(host, slip, **more):
+def read(host, view, **more):
     """The request's prefill ends well, 50 ms from now."""
     host.now += 50 * MS
-    host.ends(slip, door.READ, **more)
+    host.ends(view, door.READ, **more)
--- a/tests/settings_rig.py
+++ b/tests/settings_rig.py
@@ -117,8 +117,8 @@
         self.actions, self.numbers, self.attempts, self.out, self.ended = [], {}, {}, {}, set()
         self.router = self.profile.router(make, self, seed, 0)
         names = [f"{kind}-{i}" for i, kind in enumerate(KINDS)]
-        self.boxes = {
-            name: door.Box(
+        self.endpoints = {
+            name: door.Endpoint(
                 mark=i * 7919 + 17,
                 role=self.profile.roles[self.profile.kinds.index(name.partition("-")[0])],
                 cell=i % 3,
@@ -127,9 +127,9 @@
             )
             for i, name in enumerate(names)
         }
-        self.names = {box: name for name, box in self.boxes.items()}
+        self.names = {endpoint: name for name, endpoint in self.endpoints.items()}
         self.busy = dict.fromkeys(names, 0)
-        self.router.listed(0, list(self.boxes.values()))
+        self.router.listed(0, list(self.endpoints.values()))
         for number, request in enumerate(plan):
             self.after(self.ticks(request[0]), self.arrive, number, *request[1:])
         for at, name, state, born in ((1.0, "prefill-0", "ready", True), (1.5, "decode-4", "draining", False)):
@@ -160,7 +160,7 @@
     # What happens
     def arrive(self, number, case, tenant, prompt, session, prefix, patience, hint):
         names = self.profile.tenant_names
-        slip = door.Slip(
+        view = door.RequestView(
             self.profile.use_cases[self.profile.class_names.index(case)],
             prompt=prompt,
             most_out=300,
@@ -172,30 +172,30 @@
             account=names.index(tenant) if tenant in names else len(names),
             benefit_share=self.profile.over_share,
         )
-        self.numbers[slip], self.attempts[slip] = number, 0
-        self.router.arrived(self.now, slip)
+        self.numbers[view], self.attempts[view] = number, 0
+        self.router.arrived(self.now, view)
 
     def listed(self, name, state, born):
-        box = self.boxes[name]
-        box.state = state
+        endpoint = self.endpoints[name]
+        endpoint.state = state
         if born:
-            box.born = self.now
-        self.router.listed(self.now, [box])
+            endpoint.born = self.now
+        self.router.listed(self.now, [endpoint])
 
     # What the module asks for
     def write(self, word, *more):
         self.actions.append((self.now, word, *more))
 
-    def send(self, slip, box, time_out, send):
-        name, number, attempt = self.names[box], self.numbers[slip], self.attempts[slip]
-        self.attempts[slip] += 1
+    def send(self, view, endpoint, time_out, send):
+        name, number, attempt = self.names[endpoint], self.numbers[view], self.attempts[view]
+        self.attempts[view] += 1
         self.write("send", number, name, time_out)
-        self.out[send] = slip
+        self.out[send] = view
         rng = Random(f"{self.seed}/{number}/{attempt}")
-        chance, reads = rng.random(), box.role == "read"
+        chance, reads = rng.random(), endpoint.role == "read"
         if reads or not attempt:
             start = max(self.now, self.busy[name])
-            self.busy[name] = start + self.ticks(slip.prompt * 0.15 / 1000)
+            self.busy[name] = start + self.ticks(view.prompt * 0.15 / 1000)
             wait = self.busy[name] - self.now
         else:
             wait = self.ticks(rng.uniform(0.02, 0.3))
@@ -215,55 +215,55 @@
             self.after(wait, self.end, send, outcome)
 
     def first(self, send, stream):
-        slip = self.out.get(send)
-        if slip is None:
+        view = self.out.get(send)
+        if view is None:
             return
-        if slip in self.ended:
+        if view in self.ended:
             self.end(send, door.UNDONE)
         else:
-            self.router.first_token(self.now, slip, send)
+            self.router.first_token(self.now, view, send)
             self.after(stream, self.end, send, door.DONE)
 
     def end(self, send, outcome):
-        slip = self.out.pop(send, None)
-        if slip is not None:
+        view = self.out.pop(send, None)
+        if view is not None:
             if outcome == door.DONE:
-                self.ended.add(slip)
-            kept = slip.prompt // 4 if outcome in (door.READ, door.DONE) else 0
-            self.router.outcome(self.now, slip, send, outcome, slip in self.ended, kept, None)
+                self.ended.add(view)
+            kept = view.prompt // 4 if outcome in (door.READ, door.DONE) else 0
+            self.router.outcome(self.now, view, send, outcome, view in self.ended, kept, None)
 
-    def withdraw(self, slip, send):
-        self.write("withdraw", self.numbers[slip])
+    def withdraw(self, view, send):
+        self.write("withdraw", self.numbers[view])
         self.after(20 * self.unit, self.end, send, door.UNDONE)
 
-    def probe(self, box):
-        name = self.names[box]
+    def probe(self, endpoint):
+        name = self.names[endpoint]
         self.write("probe", name)
         waiting = max(0, self.busy[name] - self.now) / self.unit
         rng = Random(f"{self.seed}/{name}/{round(self.now / self.unit / 50)}")
         if rng.random() < 0.1:
-            self.after(self.ticks(0.25), self.probed, box, door.TOO_SLOW, None)
+            self.after(self.ticks(0.25), self.probed, endpoint, door.TOO_SLOW, None)
         else:
             self.after(
-                30 * self.unit, self.probed, box, door.DONE, self.profile.report({"x0": 0.3, "x1": waiting / 4e3})
+                30 * self.unit, self.probed, endpoint, door.DONE, self.profile.report({"x0": 0.3, "x1": waiting / 4e3})
             )
 
-    def probed(self, box, outcome, report):
-        self.router.probed(self.now, box, outcome, report)
+    def probed(self, endpoint, outcome, report):
+        self.router.probed(self.now, endpoint, outcome, report)
 
-    def turn_back(self, slip, come_back):
-        self.ended.add(slip)
-        self.write("turn_back", self.numbers[slip], come_back)
+    def turn_back(self, view, come_back):
+        self.ended.add(view)
+        self.write("turn_back", self.numbers[view], come_back)
 
-    def scrap(self, slip):
-        self.ended.add(slip)
-        self.write("scrap", self.numbers[slip])
+    def scrap(self, view):
+        self.ended.add(view)
+        self.write("scrap", self.numbers[view])
 
-    def let_go(self, slip):
-        self.write("let_go", self.numbers[slip])
+    def let_go(self, view):
+        self.write("let_go", self.numbers[view])
 
-    def hold_place(self, slip, box):
-        self.write("hold_place", self.numbers[slip], self.names[box])
+    def hold_place(self, view, endpoint):
+        self.write("hold_place", self.numbers[view], self.names[endpoint])
 
     def remind(self, wait, note):
         self.write("remind", wait)
--- a/tests/test_bad_input_leaves_nothing.py
+++ b/tests/test_bad_input_leaves_nothing.py
@@ -58,9 +58,9 @@
     return {
         "to workers": node.engines.budget.open,
         "idle": len(node.engines.budget.idle),
-        "lives": len(node.core.lives),
-        "questions": len(node.core.router.questions),
-        "sent": len(node.core.router.desk.first),
+        "lives": len(node.core.requests),
+        "questions": len(node.core.router.requests),
+        "sent": len(node.core.router.admission.new_requests),
         "attempts and releases": len(node.engines.tasks),
         "owed": len(node.engines.releases.owed) + len(node.engines.releases.running),
         "states": len(world.yard),
@@ -459,10 +459,10 @@
     heard, router = [], world.node.core.router
     outcome = router.outcome
 
-    def told(now, slip, send, what, *rest):
-        if send.worker.box.role == role:
+    def told(now, view, send, what, *rest):
+        if send.worker.endpoint.role == role:
             heard.append(what)
-        outcome(now, slip, send, what, *rest)
+        outcome(now, view, send, what, *rest)
 
     router.outcome = told
     return heard
@@ -522,7 +522,7 @@
     return {
         "to workers": sum(worker.connections.budget.open for worker in engines.workers.values()),
         "lives": rig.board.pending(),
-        "questions": sum(len(core.router.questions) for core in rig.board.cores.values()),
+        "questions": sum(len(core.router.requests) for core in rig.board.cores.values()),
         "attempts and releases": len(engines.tasks) + len(engines.calls),
         "states": len(rig.fleet.yard.states),
         "clients": len(front.listener.tasks),
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -162,28 +162,28 @@
 
 
 class BelievesNothingRan(Router):
-    def outcome(self, now, slip, send, outcome, *more):
-        super().outcome(now, slip, send, outcome if outcome in (door.DONE, *door.NEVER_RAN) else door.STALE, *more)
+    def outcome(self, now, view, send, outcome, *more):
+        super().outcome(now, view, send, outcome if outcome in (door.DONE, *door.NEVER_RAN) else door.STALE, *more)
 
 
 class _Listed(Router):
-    def change(self, box):
+    def change(self, endpoint):
         raise NotImplementedError
 
-    def listed(self, now, boxes):
-        for box in boxes:
-            self.change(box)
-        super().listed(now, boxes)
+    def listed(self, now, endpoints):
+        for endpoint in endpoints:
+            self.change(endpoint)
+        super().listed(now, endpoints)
 
 
 class IgnoresDrains(_Listed):
-    def change(self, box):
-        box.state = "ready" if box.state == "draining" else box.state
+    def change(self, endpoint):
+        endpoint.state = "ready" if endpoint.state == "draining" else endpoint.state
 
 
 class IgnoresCold(_Listed):
-    def change(self, box):
-        box.born = None
+    def change(self, endpoint):
+        endpoint.born = None
 
 
 def day(streams, *troubles, **more):
--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -54,12 +54,12 @@
     """No worker is used, so that all requests wait in the queue; returns what ends that."""
     for worker in module.workers.values():
         worker.doubt("unreachable", True)
-        worker.trial_at += 60 * S  # none is tried before
+        worker.half_open_at += 60 * S  # none is tried before
 
     def end(clock):
         for worker in module.workers.values():
             worker.trust()
-        module.tell(clock.now(), (module.desk, "serve"))
+        module.tell(clock.now(), (module.admission, "serve"))
 
     return end
 
@@ -127,7 +127,7 @@
 async def the_queue(router):
     trust = suspect_all(router.core.router)
     client = router.asks(req_deadline_ms="6000")
-    await router.until(lambda: router.core.router.desk.first)
+    await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
 
@@ -197,10 +197,10 @@
 async def a_release_before_it(router):
     gate, engines, start = asyncio.Event(), router.engines, router.engines.start
 
-    def started(core, out):
-        task = engines.releases.running[out.life] = engines._spawn(gate.wait())
-        task.add_done_callback(lambda _: engines.releases.ended(out.life))
-        start(core, out)
+    def started(core, attempt):
+        task = engines.releases.running[attempt.tracked] = engines._spawn(gate.wait())
+        task.add_done_callback(lambda _: engines.releases.ended(attempt.tracked))
+        start(core, attempt)
 
     engines.start = started
     client = router.asks()
@@ -231,7 +231,11 @@
     for connections in connections_of(router):
         held(connections, "_open", gate)
     client = router.asks()
-    await router.until(lambda: any(out.stage == "connect" for life in router.core.lives.values() for out in life.out))
+    await router.until(
+        lambda: any(
+            attempt.stage == "connect" for tracked in router.core.requests.values() for attempt in tracked.open_attempts
+        )
+    )
     return client, gate.set
 
 
@@ -353,14 +357,14 @@
 async def the_openai_queue(router):
     trust = suspect_all(router.core.router)
     client = router.asks()
-    await router.until(lambda: router.core.router.desk.first)
+    await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
 
 async def the_openai_queue_for_a_whole_answer(router):
     trust = suspect_all(router.core.router)
     client = router.asks(stream=b"false")
-    await router.until(lambda: router.core.router.desk.first)
+    await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
 
@@ -448,7 +452,7 @@
     body = b'{"model":"%s","input":"lock times"}' % VECTORS.encode()
     told = {"host": "x", "content-type": "application/json"}
     client = client_of(router, http.request("POST", "/v1/embeddings", told, body))
-    await router.until(lambda: core.router.desk.first)
+    await router.until(lambda: core.router.admission.new_requests)
     return client, lambda: trust(core.clock)
 
 
@@ -491,7 +495,7 @@
         client, _ = await the_queue_behind_a_request_on_its_connection(router)
         client.close()
         async with asyncio.timeout(1):  # the attempt's own time-out is 2 s
-            while router.core.lives or router.listener.tasks:
+            while router.core.requests or router.listener.tasks:
                 await asyncio.sleep(0.01)
         assert [entry.what for entry in router.rig.fleet.ledger] == ["read"]
         await router.settled()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -22,8 +22,8 @@
     """What it takes the age of a worker to be that is told 5 s after the first update."""
     now = 105 * S
     update = platform.EndpointUpdate(2, False, [list_entry("new", born_ms=born_ms)])
-    ((box, _),) = endpoints.update(update, now, wall_ms)
-    return (now - box.born) / S
+    ((endpoint, _),) = endpoints.update(update, now, wall_ms)
+    return (now - endpoint.born) / S
 
 
 def test_a_worker_that_starts_after_a_step_of_the_wall_clock_is_never_taken_to_be_older_than_it_is():
