--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -205,7 +205,7 @@
             self.clock.now(),
             tracked.state,
         )
-        attempt.first_byte_deadline = getattr(policy_attempt, "begin_until", None)
+        attempt.first_byte_deadline = getattr(policy_attempt, "first_byte_deadline", None)
         tracked.attempts.append(attempt)
         if not attempt.is_prefill and tracked.reserved_endpoint is not endpoint:
             self._let_place_go(tracked)
@@ -271,7 +271,7 @@
 
     # Inside
     def _remind(self, note):
-        view = getattr(note, "slip", None)
+        view = getattr(note, "view", None)
         if view in self.requests:
             self._tell(self.requests[view], self.router.reminded, note)
         else:
@@ -279,7 +279,7 @@
         self._sweep(note)
 
     def _sweep(self, note):
-        view = getattr(note, "slip", None)
+        view = getattr(note, "view", None)
         if view in self.requests:
             self._forget(self.requests[view])
 
