--- a/ramppulley/door.py
+++ b/ramppulley/door.py
@@ -1,8 +1,12 @@
-"""The interface of the decisions: plain types that go in, and the Host that acts on what comes out.
+"""The interface of the decision module: plain types that go in, and the Host that carries out what comes out.
 
-Times are whole tenths of a millisecond; `now` is any clock that only moves forward.
-Whoever hosts a `rules.Router` makes one Box per worker and one Slip per question, and hands the same
-objects back with each event; ids stay on the host's side.
+Times are whole tenths of a millisecond; `now` is any clock that only moves forward. Whoever hosts a `rules.Router` makes one
+Endpoint per worker and one RequestView per request, and passes the same objects with each event; ids stay with the host.
+
+Recorded event files and older texts of `rules.py`, which are loaded beside this module to be compared with the present one,
+refer to some names as they were first chosen. These names stay: the fields of the classes here, the outcome constants and
+their values, the methods of Host, the Router's event methods (`listed` to `reminded`, `configured`) and the keywords of its
+constructor and of `configured`. Where such a name is not the term of the field, the comment beside it gives the term.
 """
 
 from dataclasses import dataclass
@@ -11,116 +15,120 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """What the operators promise and allow for one kind of question."""
+    """What the operators promise and allow for one class of requests."""
 
-    promised: int  # first token within this
-    promised_per_k: int  # and so much more for each 1,000 prompt tokens
-    outer_limit: int
-    pace: int  # mean gap between tokens
-    benefit: float = 1.0
-    effect: str = "pure"  # pure, receipted or effectful
-    group: str = "all"  # receipted: workers that drop repeats: all, zone or cell
-    window: int = 0  # receipted: how long they remember
+    promised: int  # latency target: time to the first token
+    promised_per_k: int  # added to the target for each 1,000 prompt tokens
+    outer_limit: int  # deadline
+    pace: int  # mean time between tokens
+    benefit: float = 1.0  # value of a request of this class, for admission
+    effect: str = "pure"  # pure: safe to repeat; receipted: idempotent by key; effectful: unsafe to repeat
+    group: str = "all"  # receipted: workers that share the record of keys: all, zone or cell (group)
+    window: int = 0  # receipted: how long keys are remembered
 
 
 @dataclass(frozen=True)
 class TenantShare:
-    """One paying party's share of the service."""
+    """The request rate that a tenant is entitled to."""
 
-    per_second: float  # within its share, all routers together
+    per_second: float  # over all routers together
 
 
 @dataclass(frozen=True)
 class Capabilities:
-    """What this deployment lets a router do."""
+    """What a router may do in this deployment."""
 
-    sends: int = 4  # for one question
-    concurrent: bool = False  # two sends of one question may be out
-    probes: bool = False
-    withdraw: bool = True
-    places: bool = False  # a place may be held ahead at a writer
-    release_beside: bool = False  # a release leaves alone what an attempt that is out waits for
-    longest_wait: int = 0  # longest time to come back that clients heed; 0 = may not be named
+    sends: int = 4  # maximum attempts of one request
+    concurrent: bool = False  # two attempts of one request may be open at once
+    probes: bool = False  # workers may be probed for load reports
+    withdraw: bool = True  # attempts may be cancelled
+    places: bool = False  # capacity at a decode worker may be reserved ahead
+    release_beside: bool = False  # a release leaves the KV state that an open attempt waits for
+    longest_wait: int = 0  # maximum retry-after time that clients respect; 0 = none may be given
 
 
 @dataclass(frozen=True)
 class PolicySettings:
-    """Figures of the rules."""
+    """Settings of the policy that the platform's rules give."""
 
-    drain_grace: int
-    cold_from: float  # a cold worker starts at no less than this part of its capacity
-    cold_for: int  # and is warm no later than this
-    cold_multiple: float  # sent more than so many times what it can do ...
-    cold_window: int  # ... for so long, it falls over
-    let_go_within: int
-    step: int  # least time between two wake-ups
+    drain_grace: int  # time that a draining worker has
+    cold_from: float  # slow start: capacity of a worker that has just started, at least, as a part of its full capacity
+    cold_for: int  # slow start: maximum time until a worker has warmed up
+    cold_multiple: float  # a worker that is warming up fails when it gets more than so many times its capacity ...
+    cold_window: int  # ... for this long
+    let_go_within: int  # maximum time until KV state that nothing uses is released
+    step: int  # minimum time between two timers
 
 
 @dataclass(frozen=True)
 class PeerReport:
-    """What other routers tell of a worker: it may move counted load within bounds, and proves nothing."""
+    """What other routers report of a worker: it may adjust our own estimates within bounds, and proves nothing."""
 
-    unread: int  # of all others' sends out there: prompt tokens to read ...
-    memory: int  # ... and tokens of memory
-    known: float  # 0 to 1: how far those two are known
-    ill: float = 0.0  # 0 to 1: how many of those that tried found it silent, cut off or turning away
-    well: bool = False  # at least one tried it of late, and it answered
+    unread: int  # prompt tokens without a prefill, of all others' open attempts there ...
+    memory: int  # ... and the tokens of memory that these take
+    known: float  # confidence in these two, 0 to 1
+    ill: float = 0.0  # 0 to 1: part of the reporting routers that found it silent, cut off or rejecting
+    well: bool = False  # at least one router had a response from it recently
 
 
 @dataclass(eq=False)
 class Endpoint:
-    """One worker as the list shows it; the host keeps one object per worker and updates it."""
+    """One worker as discovery lists it; the host keeps one object per worker and updates it."""
 
-    mark: int  # stable number for hashing; the same at every router
-    role: str  # read, write or both
-    cell: int
+    mark: int  # endpoint id: stable number for hashing, the same at every router
+    role: str  # read (prefill), write (decode) or both (mixed)
+    cell: int  # group
     zone: int
     memory: int  # tokens
     weight: float = 1.0
     state: str = "ready"  # ready, draining or gone
     born: int | None = None  # time of its last start; None = long ago
-    usual: bool = True  # False: used only where those used ordinarily cannot take a question in good time
-    heard: PeerReport | None = None  # of other routers, where those talk
-    trial: bool = True  # False: while it is doubted another router has the turn to try it
+    usual: bool = True  # whether it is in this router's subset; others serve only what the subset cannot serve in time
+    heard: PeerReport | None = None  # of other routers, where peer reports are exchanged
+    trial: bool = True  # False: while it is suspect, another router holds the permit for the half-open probe
 
 
 @dataclass(eq=False)
 class RequestView:
-    """One question as it arrives."""
+    """One request as it arrives, as far as the decisions depend on it."""
 
     use_case: RequestClass
     prompt: int  # tokens
-    most_out: int
-    patience: int  # the client leaves after this
+    most_out: int  # maximum output tokens
+    patience: int  # deadline: the client leaves after this time
     session: str = ""
-    prefix: str = ""  # shared beginning, "" = none
+    prefix: str = ""  # name of the shared prefix, "" = none
     prefix_tokens: int = 0
-    likely_out: int | None = None
-    account: int = 0
-    benefit_share: float = 1.0  # what the over-share part of an account's questions is worth
-    whole: bool = False  # its client named its patience and sees nothing before the answer's end
+    likely_out: int | None = None  # expected output tokens
+    account: int = 0  # number of the tenant
+    benefit_share: float = 1.0  # factor of the value of requests beyond the tenant's share
+    whole: bool = False  # its client set the deadline itself, and gets the answer in one piece
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A worker's own load figures; None = not told."""
+    """A worker's own load figures; None = not reported."""
 
-    held: float | None = None  # questions, waiting states too
+    held: float | None = None  # requests, with those whose KV state waits
     memory_share: float | None = None
     tokens_waiting: float | None = None
     latency: int | None = None
 
 
-#: Outcomes of a send. Those in NEVER_RAN prove that nothing ran.
+#: Outcomes of an attempt. Those in NEVER_RAN prove that nothing ran.
 DONE, READ, FAULT, NO_ROOM, NO_STATE = "done", "read", "fault", "no_room", "no_state"
 TOO_SLOW, NO_ROUTE, CUT, UNDONE, STALE = "too_slow", "no_route", "cut", "undone", "stale"
-SPOILT = "spoilt"  # a writer's answer began and cannot be read: it may have run, and the state that it fetched is gone
-ANSWERED = (DONE, READ, FAULT, NO_ROOM, NO_STATE, SPOILT)  # the worker had the whole request, and said so
+SPOILT = "spoilt"  # a decode worker's corrupt response: it may have run, and the KV state that it fetched is gone
+ANSWERED = (DONE, READ, FAULT, NO_ROOM, NO_STATE, SPOILT)  # the worker responded to the whole request
 NEVER_RAN = (READ, NO_ROOM, NO_STATE, NO_ROUTE, STALE)
 
 
 class Host(Protocol):
-    """Carries out decisions. `attempt` and `note` objects come back as they were given."""
+    """Carries out decisions; passes `attempt` and `note` objects back as they were given.
+
+    hold_place: reserve capacity. let_go: release KV state and reservation. withdraw: cancel an attempt. turn_back: reject a
+    request, with a retry-after time. scrap: fail a request, as an attempt may have run.
+    """
 
     def send(self, view: RequestView, endpoint: Endpoint, time_out: int, attempt: Any) -> None: ...
     def hold_place(self, view: RequestView, endpoint: Endpoint) -> None: ...
--- a/ramppulley/drill/wire.py
+++ b/ramppulley/drill/wire.py
@@ -64,7 +64,7 @@
         self.notes, self.next_note, self.answered = {}, 0, []
         self.profile = Profile(profile)
         self.workers = Workers(self.profile)
-        self.endpoints, self.ids = self.workers.endpoints, self.workers.ids  # address -> Box, Box -> address
+        self.endpoints, self.ids = self.workers.endpoints, self.workers.ids  # address -> Endpoint, Endpoint -> address
         self.router = self.profile.router(make, self, seed, now)
         self.pause = ASK_AGAIN
         if self.profile.discovery == "on_request":
--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -54,7 +54,7 @@
 
 
 class TenantUsage:
-    """One paying party under one settings object: requests within its share here, and when its last ones came."""
+    """A tenant under one settings object: the requests that its share allows here, and the times of its last ones."""
 
     __slots__ = "expected_count", "arrivals"
 
@@ -104,7 +104,7 @@
 
 
 class PrefixCache:
-    """Texts that a worker has read and their tokens, oldest use first, within its memory (0 = not told).
+    """Prefixes cached at a worker and their tokens, least recently used first, within its memory (0 = not known).
 
     >>> kept = PrefixCache(100)
     >>> for text, tokens in (("", 50), ("a", 60), ("b", 30), ("a", 50), ("c", 30)): kept.add(text, tokens)
@@ -133,14 +133,19 @@
 
 
 class Roster:
-    """Ready workers by role, and each cell's reach: its part of all readers over its part of all writers.
+    """Ready workers by role, and each group's `prefill_share`: its part of all prefill workers over its part of all decode
+    workers.
 
-    `near`: how many times their even share a cell's readers serve its writers; one that needs more is short of readers.
+    `near`: up to how many times their even share a group's prefill workers serve its decode workers; a group that needs more
+    is in `short_groups`.
 
     >>> from types import SimpleNamespace as N
     >>> def worker(role, cell):
-    ...     endpoint = N(role=role, cell=cell, zone=0, weight=1, mark=cell)
-    ...     return N(state="ready", can_decode=role != "read", endpoint=endpoint)
+    ...     return N(
+    ...         state="ready",
+    ...         can_decode=role != "read",
+    ...         endpoint=N(role=role, cell=cell, zone=0, weight=1, mark=cell),
+    ...     )
     >>> roster = Roster([worker("read", 0), worker("read", 0), worker("write", 0), worker("write", 1)], 1.5)
     >>> len(roster.prefill_workers), len(roster.decode_workers), roster.prefill_share, roster.short_groups
     (2, 2, {0: 2.0, 1: 0.0}, {1})
@@ -189,9 +194,10 @@
 
 
 class RendezvousOrders:
-    """What keys draw for the workers of a list, as places in it: the same at all routers that have the list.
+    """Weighted rendezvous hashing: the order in which a key ranks the workers of a list, as indices into it, the same at all
+    routers that have the list.
 
-    A worker's lot is least, and so wins, as often as it is heavy. An order is made when it is first asked for.
+    A worker comes first in proportion to its weight. An order is computed when it is first used, and cached.
 
     >>> draws = RendezvousOrders(((7, 1.0, 0, 0, 1.0), (8, 1.0, 0, 0, 1.0), (9, 1.0, 1, 0, 1.0)))
     >>> draws.order(5), draws.in_group(5, 0), draws.outside_group(5, 0, 0, 4)
@@ -207,7 +213,7 @@
         self.marks = sum([(told[i][0] & WORD) << LANE * i for i in range(len(told))])
 
     def hashes(self, key):
-        """What `rendezvous_hash` draws for each, as whole numbers from 1 to 2 ** 32."""
+        """The rendezvous hash of the key with each worker, as whole numbers from 1 to 2 ** 32."""
         words = WORD * self.ones
         mixed = ((self.marks ^ key * self.ones) * MIX) & words
         mixed = ((mixed ^ (mixed >> 32 & words)) * MIX_MORE) & words
@@ -239,15 +245,15 @@
         return known["order"]
 
     def in_group(self, key, cell):
-        """The places of a cell's workers."""
+        """The ordered indices of a group's workers."""
         known, what = self.cached(key), (cell,)
         if what not in known:
             known[what] = tuple([i for i in self.order(key) if self.told[i][2] == cell])
         return known[what]
 
     def outside_group(self, key, cell, zone, times):
-        """Those of other cells (of all where `cell` is None), rarer where little is left to others, and so many times
-        so from another zone."""
+        """The ordered indices of other groups' workers (of all where `cell` is None): rarer where a group leaves little
+        capacity to others, and `times` as rare from another zone."""
         known, what = self.cached(key), (cell, zone)
         if what not in known:
             lots = [
@@ -264,14 +270,14 @@
 
 
 def rendezvous_hash(key, worker):
-    """What a key draws for one worker, from 0 to 1 evenly."""
+    """The rendezvous hash of a key with one worker, uniform from 0 to 1."""
     mixed = ((key ^ worker.endpoint.mark) * MIX) & WORD
     mixed = ((mixed ^ mixed >> 32) * MIX_MORE) & WORD
     return ((mixed >> 32) + 1) / 2**32
 
 
 def densest_window(many, count):
-    """(how many, in which least span) of the last times of many, count at most.
+    """(count, span): the shortest span between times that are `count` apart, over all the lists together.
 
     >>> densest_window([[0, 50, 60], [40, 55]], 3), densest_window([[]], 3)
     ((3, 20), (0, 1))
@@ -282,7 +288,7 @@
 
 
 def blended(own, told, part, most):
-    """A figure of our own, moved towards what is told by a part of the way, and by `most` at most.
+    """Our own estimate, moved towards a reported one by a part of the difference, and by `most` at most.
 
     >>> blended(0.5, 0.1, 0.5, 1), blended(0.5, 0.1, 1, 0.25)
     (0.3, 0.25)
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -216,7 +216,7 @@
 
 
 class Workers:
-    """The list as this router holds it: one Box for each worker that was ever listed."""
+    """The list as this router holds it: one Endpoint for each worker that was ever listed."""
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile
--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -424,7 +424,7 @@
 
 
 class PolicyRequest(Actor):
-    """One question: its sends, what is held for it, its clocks, and its one ending."""
+    """One request: its attempts, the KV state and reservation held for it, its timers, and its one final answer."""
 
     def __init__(self, router, view, permits):
         super().__init__(router)
@@ -613,7 +613,7 @@
 
 
 class AdmissionQueue(Actor):
-    """Chooses pairs, keeps the two lines, admits by benefit."""
+    """Chooses pairs of workers, keeps the queues of new and of retried requests, admits by value."""
 
     def __init__(self, router):
         super().__init__(router)
@@ -974,7 +974,7 @@
         self.tell(now, (self.admission, "listed"))
 
     def told(self, now, endpoints):
-        """Other routers told of these workers: `Box.heard` is new."""
+        """Other routers told of these workers: `Endpoint.heard` is new."""
         self.tell(now, *[(self.workers[endpoint], "told") for endpoint in endpoints if endpoint in self.workers])
 
     def arrived(self, now, view):
--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -1,8 +1,9 @@
 """Hosts one decision module for one pool of workers: tells it what happens, carries out what it decides.
 
-A front hands in an InferenceRequest with its Sink (`take`, `left`); an engine connector is told start / cancel / reserve /
-release and reports `first`, `ended`, `placed`, `probed`; the list of workers reports `listed`. What a request keeps here is
-its body, its Life and one Out for each of its attempts (four at most); tokens pass through and are never collected.
+A front hands in an InferenceRequest with its ResponseSink (`submit`, `client_left`); an engine connector is told start /
+cancel / reserve / release and reports `first_token`, `attempt_ended`, `reservation_answered`, `probed`; discovery reports
+`endpoints_changed`. What a request keeps here is its body, its TrackedRequest and one EngineAttempt for each of its
+attempts (four at most); tokens pass through and are never collected.
 """
 
 from ramppulley import door
@@ -103,7 +104,7 @@
 
     # What other routers tell
     def peer_reports_changed(self, endpoints):
-        """`Box.heard` of these is new."""
+        """`Endpoint.heard` of these is new."""
         self._guarded("told", self.router.told, self.clock.now(), endpoints)
 
     # What an engine connector tells
--- a/ramppulley/service/events.py
+++ b/ramppulley/service/events.py
@@ -1,8 +1,8 @@
 """Records of the decision module's events and actions.
 
-A record holds each call of the Router's event methods with plain arguments (boxes, slips and sends by number) and each
-action that followed; `check/replay.py` plays it again. Only the recorder stands between host and module, and only where one
-is asked for: without it nothing is added to the decision path.
+A record holds each call of the Router's event methods with plain arguments (endpoints, request views and attempts by
+number) and each action that followed; `check/replay.py` plays it again. Only the recorder stands between host and module,
+and only where one is asked for: without it nothing is added to the decision path.
 """
 
 import gzip
@@ -40,9 +40,9 @@
 
 
 class ObjectNumbers:
-    """Objects to the numbers by which a record names them, in the order of their first use.
+    """The numbers by which a record refers to objects, in the order of their first use.
 
-    A recorder forgets what the module has forgotten; a replay keeps all, to find them by number.
+    A recorder holds objects weakly, as long as the module has them; a replay keeps all, to find them by number.
     """
 
     def __init__(self, keep):
@@ -57,7 +57,7 @@
 
 
 class RecordedObjects:
-    """How a recorder and a replay name the module's objects alike."""
+    """Numbers the module's objects, alike in a recorder and in a replay."""
 
     def __init__(self, keep=False):
         self.endpoints, self.views, self.attempts, self.notes = (ObjectNumbers(keep) for _ in range(4))
@@ -82,7 +82,7 @@
 
 
 class RecordingHost:
-    """Stands between the module and its host, writes each action down and passes it on."""
+    """Stands between the module and its host: records each action and passes it on."""
 
     def __init__(self, names, host=None):
         self.names, self.host, self.actions = names, host, []
--- a/ramppulley/service/neutral.py
+++ b/ramppulley/service/neutral.py
@@ -48,8 +48,8 @@
     prefix_tokens: int = 0
     idempotency_key: str = ""  # passed on to the engines
     likely_out: int | None = None  # tokens, where there is a hint
-    value_share: float = 1.0  # as `benefit_share` in door.Slip
-    whole: bool = False  # as in door.Slip
+    value_share: float = 1.0  # as `benefit_share` in door.RequestView
+    whole: bool = False  # as in door.RequestView
 
 
 @dataclass(frozen=True)
