--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -240,7 +240,7 @@
             tracked.state = tracked.state_endpoint = None
 
     def withdraw(self, view, policy_attempt):
-        for attempt in self.requests[view].out:
+        for attempt in self.requests[view].open_attempts:
             if attempt.policy_attempt is policy_attempt:
                 self._stop(attempt)
 
