--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -8,7 +8,7 @@
 
 def caged():
     """Never looks beyond its subset."""
-    rules.PolicyRequest.roster = property(lambda question: question.router.usual)
+    rules.PolicyRequest.roster = property(lambda request: request.router.usual)
 
 
 def unguarded():
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -75,7 +75,7 @@
     """A release waits for a decode that may never have arrived."""
     from ramppulley.rules import PolicyRequest
 
-    replace(PolicyRequest, "on_unanswered", lambda self, send: None)
+    replace(PolicyRequest, "on_unanswered", lambda self, attempt: None)
 
 
 def whole_deadline_told() -> None:
@@ -196,8 +196,8 @@
     from ramppulley.rules import PolicyRequest
     from ramppulley.service.core import Core
 
-    replace(Core, "window_over", lambda self, attempt: False)
-    replace(PolicyRequest, "may_run_at", lambda self, worker: not self.out)
+    replace(Core, "repeat_window_over", lambda self, attempt: False)
+    replace(PolicyRequest, "may_run_at", lambda self, worker: not self.open_attempts)
     before = PlatformConnector._before_first_byte
 
     async def late(self: Any, attempt: Any) -> None:
