--- a/ramppulley/door.py
+++ b/ramppulley/door.py
@@ -1,6 +1,6 @@
 """The interface of the decision module: plain types that go in, and the Host that carries out what comes out.
 
-Times are whole tenths of a millisecond; `now` is any clock that only moves forward. Whoever hosts a `rules.Router` makes one
+Times are integers in tenths of a millisecond; `now` is read from any monotonic clock. The host of a `rules.Router` makes one
 Endpoint per worker and one RequestView per request, and passes the same objects with each event; ids stay with the host.
 
 Recorded event files and older texts of `rules.py`, which are loaded beside this module to be compared with the present one,
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """What the operators promise and allow for one class of requests."""
+    """The latency target, deadline and retry rules of one class of requests, as the operators set them."""
 
     promised: int  # latency target: time to the first token
     promised_per_k: int  # added to the target for each 1,000 prompt tokens
@@ -23,7 +23,7 @@
     pace: int  # mean time between tokens
     benefit: float = 1.0  # value of a request of this class, for admission
     effect: str = "pure"  # pure: safe to repeat; receipted: idempotent by key; effectful: unsafe to repeat
-    group: str = "all"  # receipted: workers that share the record of keys: all, zone or cell (group)
+    group: str = "all"  # receipted: which workers share the record of idempotency keys: all, zone or cell (group)
     window: int = 0  # receipted: how long keys are remembered
 
 
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True)
 class PolicySettings:
-    """Settings of the policy that the platform's rules give."""
+    """Settings of the policy that come from the platform's rules."""
 
-    drain_grace: int  # time that a draining worker has
-    cold_from: float  # slow start: capacity of a worker that has just started, at least, as a part of its full capacity
+    drain_grace: int  # time that a draining worker has to finish its requests
+    cold_from: float  # slow start: minimum capacity of a worker that has just started, as a part of its full capacity
     cold_for: int  # slow start: maximum time until a worker has warmed up
-    cold_multiple: float  # a worker that is warming up fails when it gets more than so many times its capacity ...
+    cold_multiple: float  # a worker that is warming up fails when its load exceeds its capacity by this factor ...
     cold_window: int  # ... for this long
     let_go_within: int  # maximum time until KV state that nothing uses is released
     step: int  # minimum time between two timers
@@ -62,12 +62,12 @@
 
 @dataclass(frozen=True)
 class PeerReport:
-    """What other routers report of a worker: it may adjust our own estimates within bounds, and proves nothing."""
+    """What other routers report of a worker. It may adjust our own estimates within bounds, but it is never proof."""
 
-    unread: int  # prompt tokens without a prefill, of all others' open attempts there ...
-    memory: int  # ... and the tokens of memory that these take
+    unread: int  # prompt tokens waiting for prefill, of the open attempts of all other routers at the worker ...
+    memory: int  # ... and the memory that these attempts take, in tokens
     known: float  # confidence in these two, 0 to 1
-    ill: float = 0.0  # 0 to 1: part of the reporting routers that found it silent, cut off or rejecting
+    ill: float = 0.0  # 0 to 1: fraction of the reporting routers that found it unresponsive, unreachable or rejecting
     well: bool = False  # at least one router had a response from it recently
 
 
@@ -82,34 +82,36 @@
     memory: int  # tokens
     weight: float = 1.0
     state: str = "ready"  # ready, draining or gone
-    born: int | None = None  # time of its last start; None = long ago
-    usual: bool = True  # whether it is in this router's subset; others serve only what the subset cannot serve in time
+    born: int | None = None  # time of its last start; None = so long ago that it is warmed up
+    usual: bool = (
+        True  # whether it is in this router's subset; workers outside it serve only what the subset cannot in time
+    )
     heard: PeerReport | None = None  # of other routers, where peer reports are exchanged
     trial: bool = True  # False: while it is suspect, another router holds the permit for the half-open probe
 
 
 @dataclass(eq=False)
 class RequestView:
-    """One request as it arrives, as far as the decisions depend on it."""
+    """The part of one arriving request that the decisions depend on."""
 
     use_case: RequestClass
     prompt: int  # tokens
     most_out: int  # maximum output tokens
     patience: int  # deadline: the client leaves after this time
     session: str = ""
-    prefix: str = ""  # name of the shared prefix, "" = none
+    prefix: str = ""  # id of the shared prefix, "" = none
     prefix_tokens: int = 0
     likely_out: int | None = None  # expected output tokens
     account: int = 0  # number of the tenant
     benefit_share: float = 1.0  # factor of the value of requests beyond the tenant's share
-    whole: bool = False  # its client set the deadline itself, and gets the answer in one piece
+    whole: bool = False  # its client set the deadline itself, and gets the response in one piece (not streamed)
 
 
 @dataclass(frozen=True)
 class LoadReport:
     """A worker's own load figures; None = not reported."""
 
-    held: float | None = None  # requests, with those whose KV state waits
+    held: float | None = None  # requests, including those whose KV state is held
     memory_share: float | None = None
     tokens_waiting: float | None = None
     latency: int | None = None
--- a/ramppulley/drill/__init__.py
+++ b/ramppulley/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: the decisions on the simulator's wire."""
+"""The bench adapter: runs the decision module on the simulator's text protocol."""
--- a/ramppulley/drill/__main__.py
+++ b/ramppulley/drill/__main__.py
@@ -6,7 +6,7 @@
 from ramppulley.drill.wire import Malformed, serve
 
 if __name__ == "__main__":
-    gc.set_threshold(50_000, 20, 50)  # what many routers keep is not walked again for each few questions
+    gc.set_threshold(50_000, 20, 50)  # the state of many routers must not be traversed again after every few requests
     try:
         serve(sys.stdin, sys.stdout)
     except Malformed as fault:
--- a/ramppulley/drill/wire.py
+++ b/ramppulley/drill/wire.py
@@ -1,6 +1,6 @@
-"""The wire's text lines in, the module's events out, and its actions back as lines.
+"""Translates the bench's text protocol to the decision module's events, and the module's actions back to lines.
 
-Holds no decision: it parses, keeps ids and objects apart, and converts seconds to tenths of a millisecond.
+It makes no decisions: it parses, maps ids to objects and back, and converts seconds to tenths of a millisecond.
 """
 
 import json
@@ -21,12 +21,12 @@
     "stale_send": door.STALE,
     "read": door.READ,
 }
-ASK_AGAIN, ASK_MOST = 500, 10_000  # tenths of a millisecond to asking for the list again, doubling up to
+RESUBSCRIBE_DELAY, MAX_RESUBSCRIBE_DELAY = 500, 10_000  # tenths of a millisecond; doubles with each failure
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
 class Malformed(Exception):
-    """Input that does not follow the wire."""
+    """Input that does not follow the protocol."""
 
 
 def seconds(ticks):
@@ -55,75 +55,75 @@
 
 
 class Instance:
-    """One router: its ids, its module, and the lines that it answers with."""
+    """One router: its ids, its decision module and its output lines."""
 
     def __init__(self, name, seed, profile, now, out, make=Router):
         self.name, self.out, self.now = name, out, now
-        self.views, self.view_ids, self.sends = {}, {}, {}
-        self.out_now, self.closed = {}, {}  # sends out of each question; whether it has its final answer
-        self.notes, self.next_note, self.answered = {}, 0, []
+        self.views, self.view_ids, self.attempts = {}, {}, {}
+        self.open_counts, self.is_final = {}, {}  # both by request
+        self.notes, self.next_note, self.newly_finished = {}, 0, []
         self.profile = Profile(profile)
         self.workers = Workers(self.profile)
         self.endpoints, self.ids = self.workers.endpoints, self.workers.ids  # address -> Endpoint, Endpoint -> address
         self.router = self.profile.router(make, self, seed, now)
-        self.pause = ASK_AGAIN
+        self.resubscribe_delay = RESUBSCRIBE_DELAY
         if self.profile.discovery == "on_request":
             self.subscribe()
 
     def subscribe(self):
-        """Where the list is told on request; a call that fails, or a subscription that broke, is repeated."""
-        self.act("SUBSCRIBE", "1")
+        """Used where discovery answers only on request. A failed call or a broken subscription is retried."""
+        self.emit("SUBSCRIBE", "1")
 
-    # What the module asks for (door.Host)
-    def act(self, *parts):
+    # Actions of the decision module (door.Host)
+    def emit(self, *parts):
         self.out.append(" ".join((parts[0], self.name) + parts[1:]))
 
-    def send(self, view, endpoint, time_out, send):
-        self.sends[view].append(send)
-        self.out_now[view] += 1
-        self.act("ATTEMPT", self.view_ids[view], seconds(time_out), self.ids[endpoint])
+    def send(self, view, endpoint, time_out, attempt):
+        self.attempts[view].append(attempt)
+        self.open_counts[view] += 1
+        self.emit("ATTEMPT", self.view_ids[view], seconds(time_out), self.ids[endpoint])
 
     def hold_place(self, view, endpoint):
-        self.act("BOOK_SEAT", self.view_ids[view], self.ids[endpoint])
+        self.emit("BOOK_SEAT", self.view_ids[view], self.ids[endpoint])
 
     def let_go(self, view):
-        self.act("DROP_STATE", self.view_ids[view])
+        self.emit("DROP_STATE", self.view_ids[view])
 
-    def withdraw(self, view, send):
-        self.act("WITHDRAW", self.view_ids[view], str(self.sends[view].index(send)))
+    def withdraw(self, view, attempt):
+        self.emit("WITHDRAW", self.view_ids[view], str(self.attempts[view].index(attempt)))
 
     def probe(self, endpoint):
-        self.act("ASK_LOAD", self.ids[endpoint])
+        self.emit("ASK_LOAD", self.ids[endpoint])
 
-    def close(self, view):
-        self.closed[view] = True
-        self.answered.append(view)
+    def mark_final(self, view):
+        self.is_final[view] = True
+        self.newly_finished.append(view)
 
     def turn_back(self, view, come_back):
-        self.close(view)
-        self.act("DECLINE", self.view_ids[view], seconds(come_back))
+        self.mark_final(view)
+        self.emit("DECLINE", self.view_ids[view], seconds(come_back))
 
     def scrap(self, view):
-        self.close(view)
-        self.act("DROP_REQUEST", self.view_ids[view])
+        self.mark_final(view)
+        self.emit("DROP_REQUEST", self.view_ids[view])
 
     def remind(self, wait, note):
         self.next_note += 1
         self.notes[self.next_note] = note
-        self.act("TIMER", str(self.next_note), seconds(max(wait, 1)))
+        self.emit("TIMER", str(self.next_note), seconds(max(wait, 1)))
 
     def log(self, line):
-        self.act("PRINT", line)
+        self.emit("PRINT", line)
 
-    # What the wire tells
+    # Events of the protocol
     def membership(self, now, fields, entries):
         kind = fields[1]
         if kind == "error":
             if self.profile.discovery == "on_request":
-                self.remind(self.pause, self.subscribe)
-                self.pause = min(ASK_MOST, 2 * self.pause)
+                self.remind(self.resubscribe_delay, self.subscribe)
+                self.resubscribe_delay = min(MAX_RESUBSCRIBE_DELAY, 2 * self.resubscribe_delay)
             return
-        self.pause = ASK_AGAIN
+        self.resubscribe_delay = RESUBSCRIBE_DELAY
         self.router.listed(
             now,
             self.workers.update(
@@ -131,20 +131,20 @@
                     WorkerEntry(
                         address,
                         STATES[state],
-                        int(cell),
+                        int(group_index),
                         int(zone),
-                        int(flavor),
+                        int(kind_index),
                         1.0 if weight == "-" else float(weight),
                         tenths(born) or None,
                     )
-                    for state, cell, address, weight, zone, flavor, born in self.known(entries)
+                    for state, group_index, address, weight, zone, kind_index, born in self.supported_entries(entries)
                 ],
                 kind != "diff",
             ),
         )
 
-    def known(self, entries):
-        """Without those of a kind that the settings do not name."""
+    def supported_entries(self, entries):
+        """The entries whose kind the settings name; the others are logged and skipped."""
         for entry in entries:
             if 0 <= int(entry[5]) < len(self.profile.roles):
                 yield entry
@@ -152,28 +152,28 @@
                 self.log(f"entry of the list passed over: kind {entry[5]}")
 
     def work_item(self, now, fields):
-        (op, most, n_prefix, dialogue, band, cost, prompt, group, prefix, patience, bits) = fields
-        use_case, hinted = self.profile.use_cases[int(band)], whole(bits) & 1 and cost != "-"
+        (op, max_output, prefix_tokens, session, class_index, cost, prompt, group, prefix, deadline, flags) = fields
+        use_case, has_hint = self.profile.use_cases[int(class_index)], whole(flags) & 1 and cost != "-"
         view = door.RequestView(
             use_case,
             prompt=whole(prompt),
-            most_out=whole(most),
-            patience=tenths(patience),
-            session=dialogue,
+            most_out=whole(max_output),
+            patience=tenths(deadline),
+            session=session,
             prefix="" if prefix.strip("0-") == "" else prefix,
-            prefix_tokens=whole(n_prefix),
-            likely_out=self.profile.likely_out(use_case, tenths(cost) if hinted else None),
+            prefix_tokens=whole(prefix_tokens),
+            likely_out=self.profile.likely_out(use_case, tenths(cost) if has_hint else None),
             account=whole(group),
             benefit_share=self.profile.over_share,
         )
-        self.views[op], self.view_ids[view], self.sends[view] = view, op, []
-        self.out_now[view], self.closed[view] = 0, False
+        self.views[op], self.view_ids[view], self.attempts[view] = view, op, []
+        self.open_counts[view], self.is_final[view] = 0, False
         self.router.arrived(now, view)
 
     def head_received(self, now, fields):
         view = self.views.get(fields[0])
         if view:
-            self.router.first_token(now, view, self.sends[view][int(fields[1])])
+            self.router.first_token(now, view, self.attempts[view][int(fields[1])])
 
     def place_note(self, now, fields):
         view = self.views.get(fields[0])
@@ -181,30 +181,38 @@
             self.router.place(now, view, self.endpoints[fields[1]], int(fields[2]) == 1)
 
     def finished(self, now, fields):
-        op, go, _, code, lag, no_more, remark, health = fields
+        op, attempt_index, _, outcome_word, lag, is_final, detail, report_text = fields
         view = self.views.get(op)
         if view is None:
             return
-        outcome = OUTCOMES[code]
-        remark = whole(remark)
-        if outcome == door.NO_ROOM and remark == 1:
+        outcome = OUTCOMES[outcome_word]
+        detail = whole(detail)
+        if outcome == door.NO_ROOM and detail == 1:
             outcome = door.NO_STATE
-        self.out_now[view] -= 1
-        self.closed[view] |= no_more == "1"
-        kept = remark if outcome in (door.DONE, door.READ) else 0
-        self.router.outcome(now, view, self.sends[view][int(go)], outcome, no_more == "1", kept, self.report(health))
+        self.open_counts[view] -= 1
+        self.is_final[view] |= is_final == "1"
+        cached_tokens = detail if outcome in (door.DONE, door.READ) else 0
+        self.router.outcome(
+            now,
+            view,
+            self.attempts[view][int(attempt_index)],
+            outcome,
+            is_final == "1",
+            cached_tokens,
+            self.report(report_text),
+        )
         self.forget(view)
 
     def sampled(self, now, fields):
-        code, address, lag, health = fields
+        outcome_word, address, lag, report_text = fields
         if address not in self.endpoints:
-            return  # never listed: nobody asked it
-        self.router.probed(now, self.endpoints[address], OUTCOMES[code], self.report(health))
+            return  # never listed, so it was not probed
+        self.router.probed(now, self.endpoints[address], OUTCOMES[outcome_word], self.report(report_text))
 
     def gone(self, now, fields):
         view = self.views.get(fields[0])
         if view:
-            self.closed[view] = True
+            self.is_final[view] = True
             self.router.left(now, view)
             self.forget(view)
 
@@ -215,15 +223,20 @@
         elif note is not None:
             self.router.reminded(now, note)
 
-    def tidy(self):
-        """After each event: what we answered in it."""
-        while self.answered:
-            self.forget(self.answered.pop())
+    def forget_finished(self):
+        """After each event: forgets the requests that were answered in it, where nothing else is open."""
+        while self.newly_finished:
+            self.forget(self.newly_finished.pop())
 
     def forget(self, view):
-        """A question with its final answer and nothing out is never heard of again."""
-        if self.closed.get(view) and not self.out_now[view]:
-            del self.views[self.view_ids.pop(view)], self.sends[view], self.out_now[view], self.closed[view]
+        """Drops a request that has its final answer and no open attempt: no further event can name it."""
+        if self.is_final.get(view) and not self.open_counts[view]:
+            del (
+                self.views[self.view_ids.pop(view)],
+                self.attempts[view],
+                self.open_counts[view],
+                self.is_final[view],
+            )
 
     def report(self, text):
         if text in ("-", ""):
@@ -244,27 +257,27 @@
 
 
 def pad(fields, count):
-    """Trailing fields may be left out."""
+    """The fields extended to `count`: trailing ones may be left out."""
     return (fields + ["-"] * count)[:count]
 
 
 def handle(line, following, now, routers, out, make=Router):
-    """One event line; `following` yields its entry lines."""
+    """Handles one event line; `following` yields the ENTRY lines behind it."""
     name, _, rest = line.partition(" ")
     if name == "POWER_ON":
-        inst, seed, profile = rest.split(" ", 2)
+        router_name, seed, profile = rest.split(" ", 2)
         try:
-            routers[inst] = Instance(inst, int(seed), json.loads(profile), now, out, make)
+            routers[router_name] = Instance(router_name, int(seed), json.loads(profile), now, out, make)
         except SettingError as fault:
             raise Malformed(str(fault)) from fault
         return
     fields = rest.split(" ")
-    inst, fields = fields[0], fields[1:]
+    router_name, fields = fields[0], fields[1:]
     if name == "POWER_OFF":
-        routers.pop(inst, None)
+        routers.pop(router_name, None)
         return
-    if inst in routers:
-        routers[inst].out = out
+    if router_name in routers:
+        routers[router_name].out = out
     if name == "MEMBERSHIP":
         entries = []
         for _ in range(whole(fields[2]) if len(fields) > 2 else 0):
@@ -272,17 +285,17 @@
             if not entry.startswith("ENTRY "):
                 raise Malformed(f"expected an ENTRY line, found {entry!r}")
             entries.append(pad(entry.split(" ")[1:], 7))
-        if inst in routers:
-            routers[inst].membership(now, fields, entries)
+        if router_name in routers:
+            routers[router_name].membership(now, fields, entries)
         return
-    if name in EVENTS and inst in routers:
+    if name in EVENTS and router_name in routers:
         method, count = EVENTS[name]
-        getattr(routers[inst], method)(now, pad(fields, count))
-        routers[inst].tidy()
+        getattr(routers[router_name], method)(now, pad(fields, count))
+        routers[router_name].forget_finished()
 
 
 def serve(source, sink, make=Router):
-    """Answers batch after batch until the source ends; `make` makes a router as `Router` does."""
+    """Answers each batch until the source ends; `make` creates a router, with the arguments of `Router`."""
     routers = {}
     lines = (line.rstrip("\r\n") for line in source)
     for line in lines:
@@ -301,20 +314,20 @@
             except Malformed:
                 raise
             except (ValueError, KeyError, IndexError, StopIteration) as fault:
-                if fault.__traceback__ and in_module(fault):
-                    crashed = crash(event, fault, out)
+                if fault.__traceback__ and raised_in_module(fault):
+                    crashed = report_crash(event, fault, out)
                 else:
                     raise Malformed(f"cannot read {event!r}: {fault!r}") from fault
             except Exception as fault:
-                crashed = crash(event, fault, out)
+                crashed = report_crash(event, fault, out)
         else:
             raise Malformed("input ended within a batch")
         sink.write("".join(text + "\n" for text in out) + "NEXT\n")
         sink.flush()
 
 
-def in_module(fault):
-    """Whether an exception came out of the decisions, not out of the parsing."""
+def raised_in_module(fault):
+    """Whether an exception was raised in the decision module, not while parsing."""
     step = fault.__traceback__
     while step:
         if step.tb_frame.f_globals.get("__name__") == "ramppulley.rules":
@@ -323,6 +336,6 @@
     return False
 
 
-def crash(event, fault, out):
+def report_crash(event, fault, out):
     out.append(f"CRASH {event.split(' ')[1]} {type(fault).__name__}: {fault}".replace("\n", " "))
     return True
--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -1,17 +1,18 @@
-"""What the decisions are built from, itself without any: actors, kept texts, the roster, lots, middles."""
+"""Building blocks of the decision module that decide nothing themselves: actors, samples, the prefix cache, the roster,
+rendezvous hashing and statistics."""
 
 from collections import deque, namedtuple
 from functools import lru_cache
 from math import inf, log
 from struct import unpack
 
-#: What a worker is taken to have: memory load, time to the first token, time per unread token, tokens ahead,
-#: streams' lateness, streams' time.
+#: Estimates of a worker: load = memory load, wait = time to the first token, pace = prefill time per token, ahead = queued
+#: prompt tokens, slowness = lateness of its streams, stays = how long its streams last.
 Figures = namedtuple("Figures", "load wait pace ahead slowness stays")
 
 
 class Actor:
-    """Takes one note at a time from its inbox; `on_<word>` acts on it."""
+    """Handles one message at a time from its inbox, by its method `on_<event>`."""
 
     __slots__ = "router", "inbox", "turn", "__weakref__"
 
@@ -22,8 +23,8 @@
     def now(self):
         return self.router.clock
 
-    def note(self, word, *figures):
-        self.inbox.append((word, figures))
+    def note(self, event, *arguments):
+        self.inbox.append((event, arguments))
         self.router.due.append(self)
 
 
@@ -41,7 +42,7 @@
         "memory",
         "ahead",
         "expected",
-        "first_byte_deadline",  # a repeat writes its first byte no later; None is no bound
+        "first_byte_deadline",  # latest time at which a retry sends its first byte; None: not bounded
         "__weakref__",
     ]
 
@@ -54,7 +55,7 @@
 
 
 class TenantUsage:
-    """A tenant under one settings object: the requests that its share allows here, and the times of its last ones."""
+    """A tenant's usage under one settings object: the requests that its share allows here, and its last arrivals."""
 
     __slots__ = "expected_count", "arrivals"
 
@@ -63,7 +64,8 @@
 
 
 class Samples:
-    """The last figures with their times, in order; those within a span, and their middle, are kept till one is too old.
+    """The last values with their times, in order. Those within the time span, their median and mean are cached until the
+    oldest of them expires.
 
     >>> some = Samples(100, 2)
     >>> for at, figure in ((0, 5), (50, 1), (90, 3)): some.add(at, figure)
@@ -71,57 +73,58 @@
     ([1, 3], 2.0, [3], None)
     """
 
-    __slots__ = "span", "samples", "figures", "half", "even", "until"
+    __slots__ = "span", "samples", "recent_values", "recent_median", "recent_mean", "valid_until"
 
-    def __init__(self, span, most):
-        self.span, self.samples = span, deque(maxlen=most)
-        self.figures, self.half, self.even, self.until = [], None, 0.0, inf
+    def __init__(self, span, max_count):
+        self.span, self.samples = span, deque(maxlen=max_count)
+        self.recent_values, self.recent_median, self.recent_mean, self.valid_until = [], None, 0.0, inf
 
-    def add(self, at, figure):
-        self.samples.append((at, figure))
-        self.until = -inf
+    def add(self, at, value):
+        self.samples.append((at, value))
+        self.valid_until = -inf
 
     def recent(self, now):
-        if now >= self.until:
+        if now >= self.valid_until:
             fresh = [sample for sample in self.samples if now - sample[0] < self.span]
-            self.until = fresh[0][0] + self.span if fresh else inf
-            self.figures = [figure for _, figure in fresh]
-            self.half, self.even = median(self.figures), mean(self.figures)
-        return self.figures
+            self.valid_until = fresh[0][0] + self.span if fresh else inf
+            self.recent_values = [value for _, value in fresh]
+            self.recent_median, self.recent_mean = median(self.recent_values), mean(self.recent_values)
+        return self.recent_values
 
     def median(self, now):
-        if now >= self.until:
+        if now >= self.valid_until:
             self.recent(now)
-        return self.half
+        return self.recent_median
 
     def mean(self, now):
-        if now >= self.until:
+        if now >= self.valid_until:
             self.recent(now)
-        return self.even
+        return self.recent_mean
 
 
-TEXTS = 1 << 14  # texts remembered for one worker, also where its memory is not told
+MAX_CACHED_PREFIXES = 1 << 14  # per worker; also bounds a cache whose worker's memory is not known
 
 
 class PrefixCache:
-    """Prefixes cached at a worker and their tokens, least recently used first, within its memory (0 = not known).
+    """The prefixes that a worker is expected to have cached, with their tokens, least recently used first, within its memory
+    (0 = not known).
 
-    >>> kept = PrefixCache(100)
-    >>> for text, tokens in (("", 50), ("a", 60), ("b", 30), ("a", 50), ("c", 30)): kept.add(text, tokens)
-    >>> kept.tokens
+    >>> cache = PrefixCache(100)
+    >>> for name, tokens in (("", 50), ("a", 60), ("b", 30), ("a", 50), ("c", 30)): cache.add(name, tokens)
+    >>> cache.tokens
     {'a': 60, 'c': 30}
     """
 
     def __init__(self, memory):
         self.memory, self.tokens, self.total = memory, {}, 0
 
-    def add(self, text, tokens):
-        if not text:  # no name to find it by: embeddings and such have no session
+    def add(self, name, tokens):
+        if not name:  # cannot be looked up: embeddings, for example, have no session
             return
-        known = self.tokens.pop(text, 0)
-        self.tokens[text] = max(tokens, known)
-        self.total += self.tokens[text] - known
-        while len(self.tokens) > TEXTS or (self.memory and self.total > self.memory):
+        known = self.tokens.pop(name, 0)
+        self.tokens[name] = max(tokens, known)
+        self.total += self.tokens[name] - known
+        while len(self.tokens) > MAX_CACHED_PREFIXES or (self.memory and self.total > self.memory):
             self.total -= self.tokens.pop(next(iter(self.tokens)))
 
     def clear(self):
@@ -133,18 +136,18 @@
 
 
 class Roster:
-    """Ready workers by role, and each group's `prefill_share`: its part of all prefill workers over its part of all decode
-    workers.
+    """Ready workers by role, and each group's `prefill_share`: its part of all prefill capacity divided by its part of all
+    decode capacity.
 
-    `near`: up to how many times their even share a group's prefill workers serve its decode workers; a group that needs more
-    is in `short_groups`.
+    `near`: how many times their even share the prefill workers of a group may serve for its own decode workers. A group
+    whose decode workers need more is in `short_groups`.
 
     >>> from types import SimpleNamespace as N
-    >>> def worker(role, cell):
+    >>> def worker(role, group):
     ...     return N(
     ...         state="ready",
     ...         can_decode=role != "read",
-    ...         endpoint=N(role=role, cell=cell, zone=0, weight=1, mark=cell),
+    ...         endpoint=N(role=role, cell=group, zone=0, weight=1, mark=group),
     ...     )
     >>> roster = Roster([worker("read", 0), worker("read", 0), worker("write", 0), worker("write", 1)], 1.5)
     >>> len(roster.prefill_workers), len(roster.decode_workers), roster.prefill_share, roster.short_groups
@@ -162,35 +165,44 @@
             part[worker.endpoint.cell] = part.get(worker.endpoint.cell, 0) + worker.endpoint.weight
             if worker.can_decode:
                 self.decode_by_group.setdefault(worker.endpoint.cell, []).append(worker)
-        read, write = (sum(part.values()) or 1 for part in weight)
+        prefill_weight, decode_weight = (sum(part.values()) or 1 for part in weight)
         self.prefill_share = {
-            cell: weight[0].get(cell, 0) / read * write / (weight[1].get(cell, 0) or 1e-9)
-            for cell in {**weight[0], **weight[1]}
+            group: weight[0].get(group, 0) / prefill_weight * decode_weight / (weight[1].get(group, 0) or 1e-9)
+            for group in {**weight[0], **weight[1]}
         }
-        self.short_groups = {cell for cell, reach in self.prefill_share.items() if reach * near < 1}
-        # the part of a cell's readers that its own writers leave to others: all where those use the whole fleet's
+        self.short_groups = {group for group, share in self.prefill_share.items() if share * near < 1}
+        # The part of a group's prefill capacity that its own decode workers leave to other groups. It is the whole of it in
+        # a short group, whose decode workers use the prefill workers of the entire fleet.
         spare = {
-            cell: 1.0 if cell in self.short_groups else max(0.1, 1 - 1 / reach)
-            for cell, reach in self.prefill_share.items()
+            group: 1.0 if group in self.short_groups else max(0.1, 1 - 1 / share)
+            for group, share in self.prefill_share.items()
         }
         self.prefill_orders, self.decode_orders = (
             rendezvous_orders_of(
                 tuple(
                     [
                         (w.endpoint.mark, w.endpoint.weight, w.endpoint.cell, w.endpoint.zone, spare[w.endpoint.cell])
-                        for w in some
+                        for w in ready_workers
                     ]
                 )
             )
-            for some in (self.prefill_workers, self.decode_workers)
+            for ready_workers in (self.prefill_workers, self.decode_workers)
         )
 
     def like(self, worker):
         return self.by_role.get(worker.endpoint.role, [])
 
 
-MIX, MIX_MORE, WORD, LANE = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93, 0xFFFFFFFFFFFFFFFF, 128
-DRAWN_KEYS, DRAWN_LISTS = 1024, 16  # kept at once: keys of a list; lists, which routers may see at other times
+FIRST_MULTIPLIER, SECOND_MULTIPLIER, WORD_MASK, LANE_BITS = (
+    0x9E3779B97F4A7C15,
+    0xD6E8FEB86659FD93,
+    0xFFFFFFFFFFFFFFFF,
+    128,
+)
+DRAWN_KEYS, MAX_CACHED_LISTS = (
+    1024,
+    16,
+)  # cache bounds: keys per list of workers; lists (routers may see different lists at a time)
 
 
 class RendezvousOrders:
@@ -199,105 +211,105 @@
 
     A worker comes first in proportion to its weight. An order is computed when it is first used, and cached.
 
-    >>> draws = RendezvousOrders(((7, 1.0, 0, 0, 1.0), (8, 1.0, 0, 0, 1.0), (9, 1.0, 1, 0, 1.0)))
-    >>> draws.order(5), draws.in_group(5, 0), draws.outside_group(5, 0, 0, 4)
+    >>> orders = RendezvousOrders(((7, 1.0, 0, 0, 1.0), (8, 1.0, 0, 0, 1.0), (9, 1.0, 1, 0, 1.0)))
+    >>> orders.order(5), orders.in_group(5, 0), orders.outside_group(5, 0, 0, 4)
     ((0, 1, 2), (0, 1), (2,))
     """
 
-    def __init__(self, told):
-        self.told, self.orders = told, {}
-        self.weights = [weight or 1 for _, weight, *_ in told]
-        self.alike = len(set(self.weights)) < 2
-        # all marks side by side in one whole number, 128 bits each, so that one multiplication mixes them all
-        self.ones = sum([1 << LANE * i for i in range(len(told))])
-        self.marks = sum([(told[i][0] & WORD) << LANE * i for i in range(len(told))])
+    def __init__(self, workers):
+        self.workers, self.orders = workers, {}
+        self.weights = [weight or 1 for _, weight, *_ in workers]
+        self.equal_weights = len(set(self.weights)) < 2
+        # all endpoint ids packed into one integer, in lanes of 128 bits, so that one multiplication mixes them all
+        self.lane_ones = sum([1 << LANE_BITS * i for i in range(len(workers))])
+        self.packed_marks = sum([(workers[i][0] & WORD_MASK) << LANE_BITS * i for i in range(len(workers))])
 
     def hashes(self, key):
-        """The rendezvous hash of the key with each worker, as whole numbers from 1 to 2 ** 32."""
-        words = WORD * self.ones
-        mixed = ((self.marks ^ key * self.ones) * MIX) & words
-        mixed = ((mixed ^ (mixed >> 32 & words)) * MIX_MORE) & words
-        lanes = mixed.to_bytes(LANE // 8 * len(self.told), "little")
-        return [(word >> 32) + 1 for word in unpack(f"<{2 * len(self.told)}Q", lanes)[::2]]
+        """The rendezvous hash of the key with each worker, as integers from 1 to 2 ** 32."""
+        mask = WORD_MASK * self.lane_ones
+        mixed = ((self.packed_marks ^ key * self.lane_ones) * FIRST_MULTIPLIER) & mask
+        mixed = ((mixed ^ (mixed >> 32 & mask)) * SECOND_MULTIPLIER) & mask
+        lanes = mixed.to_bytes(LANE_BITS // 8 * len(self.workers), "little")
+        return [(value >> 32) + 1 for value in unpack(f"<{2 * len(self.workers)}Q", lanes)[::2]]
 
     def cached(self, key):
         known = self.orders.get(key)
         if known is None:
             while len(self.orders) >= DRAWN_KEYS:
                 del self.orders[next(iter(self.orders))]
-            known = self.orders[key] = {"parts": self.hashes(key)}
+            known = self.orders[key] = {"hashes": self.hashes(key)}
         return known
 
     def weighted_hashes(self, key):
         known = self.cached(key)
-        if "lots" not in known:
-            known["lots"] = [-log(part / 2**32) / weight for part, weight in zip(known["parts"], self.weights)]
-        return known["lots"]
+        if "weighted" not in known:
+            known["weighted"] = [-log(value / 2**32) / weight for value, weight in zip(known["hashes"], self.weights)]
+        return known["weighted"]
 
     def order(self, key):
         known = self.cached(key)
         if "order" not in known:
-            if self.alike:  # the logarithm keeps their order
-                by = known["parts"].__getitem__
-                known["order"] = tuple(sorted(range(len(self.told)), key=by, reverse=True))
+            if self.equal_weights:  # the weighting would not change their order
+                by_hash = known["hashes"].__getitem__
+                known["order"] = tuple(sorted(range(len(self.workers)), key=by_hash, reverse=True))
             else:
-                known["order"] = tuple(sorted(range(len(self.told)), key=self.weighted_hashes(key).__getitem__))
+                known["order"] = tuple(sorted(range(len(self.workers)), key=self.weighted_hashes(key).__getitem__))
         return known["order"]
 
-    def in_group(self, key, cell):
+    def in_group(self, key, group):
         """The ordered indices of a group's workers."""
-        known, what = self.cached(key), (cell,)
-        if what not in known:
-            known[what] = tuple([i for i in self.order(key) if self.told[i][2] == cell])
-        return known[what]
-
-    def outside_group(self, key, cell, zone, times):
-        """The ordered indices of other groups' workers (of all where `cell` is None): rarer where a group leaves little
-        capacity to others, and `times` as rare from another zone."""
-        known, what = self.cached(key), (cell, zone)
-        if what not in known:
-            lots = [
-                weighted / spare * (1 if its == zone else times)
-                for weighted, (_, _, _, its, spare) in zip(self.weighted_hashes(key), self.told)
+        known, selection = self.cached(key), (group,)
+        if selection not in known:
+            known[selection] = tuple([i for i in self.order(key) if self.workers[i][2] == group])
+        return known[selection]
+
+    def outside_group(self, key, group, zone, times):
+        """The ordered indices of other groups' workers (of all where `group` is None). A worker comes first less often where
+        its group has little spare capacity, and `times` less often where it is in another zone."""
+        known, selection = self.cached(key), (group, zone)
+        if selection not in known:
+            penalized = [
+                weighted / spare * (1 if worker_zone == zone else times)
+                for weighted, (_, _, _, worker_zone, spare) in zip(self.weighted_hashes(key), self.workers)
             ]
-            known[what] = tuple(
-                sorted([i for i, told in enumerate(self.told) if told[2] != cell], key=lots.__getitem__)
+            known[selection] = tuple(
+                sorted([i for i, worker in enumerate(self.workers) if worker[2] != group], key=penalized.__getitem__)
             )
-        return known[what]
+        return known[selection]
 
 
-rendezvous_orders_of = lru_cache(maxsize=DRAWN_LISTS)(RendezvousOrders)
+rendezvous_orders_of = lru_cache(maxsize=MAX_CACHED_LISTS)(RendezvousOrders)
 
 
 def rendezvous_hash(key, worker):
     """The rendezvous hash of a key with one worker, uniform from 0 to 1."""
-    mixed = ((key ^ worker.endpoint.mark) * MIX) & WORD
-    mixed = ((mixed ^ mixed >> 32) * MIX_MORE) & WORD
+    mixed = ((key ^ worker.endpoint.mark) * FIRST_MULTIPLIER) & WORD_MASK
+    mixed = ((mixed ^ mixed >> 32) * SECOND_MULTIPLIER) & WORD_MASK
     return ((mixed >> 32) + 1) / 2**32
 
 
-def densest_window(many, count):
-    """(count, span): the shortest span between times that are `count` apart, over all the lists together.
+def densest_window(series, count):
+    """(count, span): the shortest span between times that are `count` apart, in all the series of times together.
 
     >>> densest_window([[0, 50, 60], [40, 55]], 3), densest_window([[]], 3)
     ((3, 20), (0, 1))
     """
-    times = sorted(at for some in many for at in some)
+    times = sorted(at for one in series for at in one)
     count = max(0, min(count, len(times) - 1))
     return count, max(1, min((b - a for a, b in zip(times, times[count:])), default=1))
 
 
-def blended(own, told, part, most):
-    """Our own estimate, moved towards a reported one by a part of the difference, and by `most` at most.
+def blended(own, reported, part, max_change):
+    """Our own estimate, moved towards a reported one by a part of the difference, and by no more than `max_change`.
 
     >>> blended(0.5, 0.1, 0.5, 1), blended(0.5, 0.1, 1, 0.25)
     (0.3, 0.25)
     """
-    return own + max(-most, min(most, (told - own) * part))
+    return own + max(-max_change, min(max_change, (reported - own) * part))
 
 
 def median(figures):
-    """The median, None of nothing.
+    """The median; None for an empty list.
 
     >>> median([3, 1, 2]), median([1, 2]), median([])
     (2, 1.5, None)
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -1,7 +1,7 @@
-"""The platform's settings object, its list of workers and its load reports, as `door` has them.
+"""Converts the platform's settings object, worker list and load reports to the types of `door`.
 
-Both hosts read them here: the bench adapter (`drill/`) and the router on sockets (`daemon/platform/`). What either tells
-the module of a setting, a worker, a question or a report is therefore the same.
+Both hosts of the decision module use it, the bench adapter (`drill/`) and the router on sockets (`daemon/platform/`), so
+that they pass the module the same settings, workers, requests and reports.
 """
 
 import weakref
@@ -10,143 +10,156 @@
 from typing import Any, NamedTuple
 
 from ramppulley import door
-from ramppulley.settings_fields import REQUIRED, Fields, SettingError, each, flag, meaning, number, objects, text, word
-
-# The platform's words that have a meaning here; all others are refused at the start.
+from ramppulley.settings_fields import (
+    REQUIRED,
+    Fields,
+    SettingError,
+    boolean,
+    list_of,
+    mapped,
+    number,
+    objects,
+    one_of,
+    string,
+)
+
+# The values of the platform's settings that are supported; any other is rejected at startup.
 EFFECTS = {"free": "pure", "guarded": "receipted", "single_shot": "effectful"}
-GROUPS, ROLES = ("all", "zone", "cell"), ("read", "write", "both")
-SHAPES, LISTS, WAYS = ("twostage",), ("pushed", "on_request"), ("answers", "probe", "none")
-#: What the settings say that a report's figure means: the report's own word, and its unit there.
-MEANINGS = {
+KEY_SCOPES, ROLES = ("all", "zone", "cell"), ("read", "write", "both")
+DOMAIN_TYPES, DISCOVERY_MODES, REPORT_MODES = ("twostage",), ("pushed", "on_request"), ("answers", "probe", "none")
+#: Meanings that the settings may give to a report's value: the field of `door.LoadReport`, and the factor to its unit.
+REPORT_MEANINGS = {
     "share of memory that is held": ("memory_share", 1),
     "thousands of prompt tokens waiting to be read or fetched": ("tokens_waiting", 1000),
 }
-SHARE, WAITING = MEANINGS.values()
-FIELDS: dict[str, tuple[str, int] | None] = {
+MEMORY_SHARE, TOKENS_WAITING = REPORT_MEANINGS.values()
+REPORT_FIELDS: dict[str, tuple[str, int] | None] = {
     "rif": None,
     "q": None,
     "busy": None,
     "lat_ms": None,
     "rate": None,
     "fail_rate": None,
-    "x0": SHARE,
-    "x1": WAITING,
+    "x0": MEMORY_SHARE,
+    "x1": TOKENS_WAITING,
 }
-MAX_FIGURE = 1e9  # no worker has more of anything: a figure above it is noise
+MAX_REPORTED_VALUE = 1e9  # no valid report exceeds this; a larger value is ignored
 
 
-def micros(text: str | float) -> int:
-    """Whole microseconds of a time in seconds.
+def microseconds(text: str | float) -> int:
+    """A time in seconds as whole microseconds.
 
-    >>> micros("8.41225")
+    >>> microseconds("8.41225")
     8412250
     """
     return round(float(text) * 1_000_000)
 
 
 def tenths(text: str | float | None, up: bool = False) -> int:
-    """Seconds to whole tenths of a millisecond, down unless told otherwise; '-' is 0.
+    """Seconds to whole tenths of a millisecond, rounded down, or up where `up` is set; '-' is 0.
 
     >>> tenths("0.00019"), tenths("0.00019", up=True), tenths("-")
     (1, 2, 0)
     """
-    us = 0 if text is None or text in ("-", "") else micros(text)
+    us = 0 if text is None or text in ("-", "") else microseconds(text)
     return -(-us // 100) if up else us // 100
 
 
 class Profile:
-    """One settings object. Raises SettingError where it lacks what the module needs or says what has no meaning here.
+    """One validated settings object. Raises SettingError for a required field that is missing or an unsupported value.
 
-    A key that the platform's pages do not name is passed over; an optional one that is absent means what they say.
+    Keys that the platform's documentation does not name are ignored; absent optional ones get their documented defaults.
     """
 
     def __init__(self, settings: Any) -> None:
         fields = Fields(settings)
-        fields.at("DomainType", word(SHAPES), SHAPES[0])
-        self.discovery = fields.at("Discovery", word(LISTS), LISTS[0])
+        fields.at("DomainType", one_of(DOMAIN_TYPES), DOMAIN_TYPES[0])
+        self.discovery = fields.at("Discovery", one_of(DISCOVERY_MODES), DISCOVERY_MODES[0])
         self._read_workers(fields)
         self._read_classes(fields)
         self._read_reports(fields)
         self.over_share = float(fields.at("OverShareWorth", number(), 1.0))
-        self._read_place(fields)
+        self._read_topology(fields)
         self._read_tenants(fields)
-        self.permits = self._permits(fields)
-        self.lawbook = self._lawbook(fields)
+        self.permits = self._capabilities(fields)
+        self.lawbook = self._policy_settings(fields)
         self.connect_within = tenths(fields.at("Bounds.ConnectTimeoutS", number(), 0))
         self.idle = tenths(fields.at("Bounds.ConnIdleS", number(), 0))
         self.max_requests = int(fields.at("Bounds.MaxOpen", number(whole=True), 0))
 
     def _read_workers(self, fields: Fields) -> None:
-        """Kinds and zones by their names, and what workers of each kind do and hold."""
-        self.kinds, self.zones = fields.at("Kinds", each(text), []), fields.at("Azs", each(text), [])
+        """The names of the worker kinds and zones, and the role and memory of each kind."""
+        self.kinds, self.zones = fields.at("Kinds", list_of(string), []), fields.at("Azs", list_of(string), [])
         same_as_kinds = ("Kinds", len(self.kinds)) if self.kinds else None
-        self.roles = fields.at("Specifics.RoleByKind", each(word(ROLES), same_as_kinds))
+        self.roles = fields.at("Specifics.RoleByKind", list_of(one_of(ROLES), same_as_kinds))
         if not self.roles:
-            raise SettingError("settings.Specifics.RoleByKind: at least one kind of worker is needed")
-        self.memory = fields.at("Specifics.MemoryTokens", each(number(), ("RoleByKind", len(self.roles))), [])
+            raise SettingError("settings.Specifics.RoleByKind: at least one kind of worker is required")
+        self.memory = fields.at("Specifics.MemoryTokens", list_of(number(), ("RoleByKind", len(self.roles))), [])
 
     def _read_classes(self, fields: Fields) -> None:
-        """Request classes, by their place in the list."""
-        lanes = fields.at("Lanes", objects)
-        if not lanes:
-            raise SettingError("settings.Lanes: at least one class is needed")
+        """The request classes, identified by their index in the list."""
+        class_list = fields.at("Lanes", objects)
+        if not class_list:
+            raise SettingError("settings.Lanes: at least one request class is required")
         per_k, pace = (
-            fields.at(f"Specifics.{field}", each(number(), ("Lanes", len(lanes))), []) or [0] * len(lanes)
+            fields.at(f"Specifics.{field}", list_of(number(), ("Lanes", len(class_list))), []) or [0] * len(class_list)
             for field in ("AimUsPer1000PromptTokens", "TokenAimS")
         )
-        self.class_names = [lane.at("Name", text, "") for lane in lanes]
-        self.use_cases = [self._use_case(lane, per_k[i], pace[i]) for i, lane in enumerate(lanes)]
+        self.class_names = [request_class.at("Name", string, "") for request_class in class_list]
+        self.use_cases = [
+            self._request_class(request_class, per_k[i], pace[i]) for i, request_class in enumerate(class_list)
+        ]
 
     @staticmethod
-    def _use_case(lane: Fields, promised_us_per_k: float, pace_s: float) -> door.RequestClass:
+    def _request_class(request_class: Fields, promised_us_per_k: float, pace_s: float) -> door.RequestClass:
         return door.RequestClass(
-            promised=tenths(lane.at("AimS", number(0.001))),
-            outer_limit=tenths(lane.at("GiveUpS", number(0.001))),
-            benefit=float(lane.at("Credit", number(over=True))),
+            promised=tenths(request_class.at("AimS", number(0.001))),
+            outer_limit=tenths(request_class.at("GiveUpS", number(0.001))),
+            benefit=float(request_class.at("Credit", number(over=True))),
             promised_per_k=int(promised_us_per_k) // 100,
             pace=tenths(pace_s),
-            effect=lane.at("Effect", meaning(EFFECTS)),
-            group=_key_scope(lane),
-            window=tenths(lane.at("WindowS", number(), 0)),
+            effect=request_class.at("Effect", mapped(EFFECTS)),
+            group=_key_scope(request_class),
+            window=tenths(request_class.at("WindowS", number(), 0)),
         )
 
     def _read_reports(self, fields: Fields) -> None:
-        """How workers report their load, and what the figures of a report mean."""
-        self.how = fields.at("Report.How", word(WAYS))
-        self.fields = fields.at("Report.Fields", each(word(tuple(FIELDS))), [])
+        """How workers report their load, and what the values of a report mean."""
+        self.how = fields.at("Report.How", one_of(REPORT_MODES))
+        self.fields = fields.at("Report.Fields", list_of(one_of(tuple(REPORT_FIELDS))), [])
         self.means = {
-            field: fields.at(f"Specifics.Report{field.upper()}", meaning(MEANINGS), usual)
-            for field, usual in FIELDS.items()
-            if usual and field in self.fields
+            field: fields.at(f"Specifics.Report{field.upper()}", mapped(REPORT_MEANINGS), default)
+            for field, default in REPORT_FIELDS.items()
+            if default and field in self.fields
         }
 
-    def _read_place(self, fields: Fields) -> None:
-        """How many routers there are, and the number of the zone of this one."""
+    def _read_topology(self, fields: Fields) -> None:
+        """The number of routers, and the index of this router's zone."""
         self.routers = int(fields.at("NInstances", number(1, whole=True)))
         max_zone = max(0, len(self.zones) - 1) if self.zones else 1e9
         self.zone = int(fields.at("MyZone", number(0, max_zone, whole=True)))
 
     def _read_tenants(self, fields: Fields) -> None:
-        """Tenants, by their place in the list."""
+        """The tenants, identified by their index in the list."""
         tenants = fields.at("Tenants", objects, [])
-        self.tenant_names = [tenant.at("Name", text, "") for tenant in tenants]
+        self.tenant_names = [tenant.at("Name", string, "") for tenant in tenants]
         self.accounts = [door.TenantShare(float(tenant.at("QuotaPerS", number()))) for tenant in tenants]
 
-    def _permits(self, fields: Fields) -> door.Capabilities:
-        may_name_wait = fields.at("Bounds.RetryAfter", flag, False)
-        longest_wait = fields.at("Bounds.MaxRetryAfterS", number(), 0) if may_name_wait else 0
+    def _capabilities(self, fields: Fields) -> door.Capabilities:
+        may_send_retry_after = fields.at("Bounds.RetryAfter", boolean, False)
+        longest_wait = fields.at("Bounds.MaxRetryAfterS", number(), 0) if may_send_retry_after else 0
         return door.Capabilities(
             sends=int(fields.at("Bounds.SendCap", number(1, whole=True))),
-            concurrent=fields.at("Bounds.MayDuplicate", flag, False),
-            probes=fields.at("Bounds.Probing", flag, False) and self.how != "none",
-            withdraw=fields.at("Bounds.Cancel", flag, False),
-            places=fields.at("Specifics.MayReserve", flag, False),
-            release_beside=True,  # the protocol: what no attempt waits for
+            concurrent=fields.at("Bounds.MayDuplicate", boolean, False),
+            probes=fields.at("Bounds.Probing", boolean, False) and self.how != "none",
+            withdraw=fields.at("Bounds.Cancel", boolean, False),
+            places=fields.at("Specifics.MayReserve", boolean, False),
+            release_beside=True,  # by the protocol, a release spares the KV state that an attempt waits for
             longest_wait=tenths(longest_wait),
         )
 
     @staticmethod
-    def _lawbook(fields: Fields) -> door.PolicySettings:
+    def _policy_settings(fields: Fields) -> door.PolicySettings:
         return door.PolicySettings(
             drain_grace=tenths(fields.at("Rules.DrainGraceS", number())),
             cold_from=float(fields.at("Rules.ColdFrom", number(over=True))),
@@ -158,13 +171,13 @@
         )
 
     def __eq__(self, other: object) -> bool:
-        """Whether both mean the same here: keys that are passed over do not count."""
+        """Whether both have the same meaning; ignored keys are not compared."""
         return isinstance(other, Profile) and vars(self) == vars(other)
 
-    __hash__ = None  # type: ignore[assignment]  # it is equal by what it means, and is no key
+    __hash__ = None  # type: ignore[assignment]  # mutable and compared by meaning, so not usable as a key
 
     def of_module(self) -> dict[str, Any]:
-        """What the decision module is made with, and configured with when the settings change."""
+        """Arguments for the decision module's constructor, and for `configured` when the settings change."""
         return {
             "routers": self.routers,
             "zone": self.zone,
@@ -175,58 +188,65 @@
         }
 
     def router(self, make: Callable[..., Any], host: door.Host, seed: int, now: int) -> Any:
-        """The module's instance for this profile."""
+        """A new instance of the decision module with these settings."""
         return make(host, seed=seed, now=now, **self.of_module())
 
     def likely_out(self, use_case: door.RequestClass, cost: int | None) -> int | None:
-        """The length that a hint of so much time promises, in tokens; `cost` in tenths, None where there is no hint."""
+        """Expected output tokens by the client's cost hint, in tenths of a millisecond; None where there is no hint."""
         return None if cost is None or not use_case.pace else max(1, cost // use_case.pace)
 
     def report(self, values: Mapping[str, Any]) -> door.LoadReport:
-        """A load report by the settings' own names of its fields; what is no figure is not told."""
+        """The load report in `values`, by the names that the settings give its fields; invalid values are left out."""
         known = {
             name: float(v)
             for name in self.fields
-            if isinstance(v := values.get(name), (int, float)) and not isinstance(v, bool) and 0 <= v <= MAX_FIGURE
+            if isinstance(v := values.get(name), (int, float))
+            and not isinstance(v, bool)
+            and 0 <= v <= MAX_REPORTED_VALUE
         }
         named: dict[str, Any] = {
-            meant: known[field] * times for field, (meant, times) in self.means.items() if field in known
+            field_name: known[field] * times for field, (field_name, times) in self.means.items() if field in known
         }
         latency_ms = known.get("lat_ms")
         latency = None if latency_ms is None else int(latency_ms * 10)
         return door.LoadReport(held=known.get("rif"), latency=latency, **named)
 
 
-def _key_scope(lane: Fields) -> str:
-    """Which workers drop repeats. A guarded class has to say it: a guess would allow a second effect."""
-    guarded = lane.at("Effect", meaning(EFFECTS)) == "receipted"
-    return lane.at("KeyScope", word(GROUPS), REQUIRED if guarded else "all")
+def _key_scope(request_class: Fields) -> str:
+    """Which workers share the record of idempotency keys. Required for a guarded class: a wrong default could let a request
+    take effect twice."""
+    keyed = request_class.at("Effect", mapped(EFFECTS)) == "receipted"
+    return request_class.at("KeyScope", one_of(KEY_SCOPES), REQUIRED if keyed else "all")
 
 
 class WorkerEntry(NamedTuple):
-    """What a discovery update says of one worker."""
+    """One worker's entry in a discovery update."""
 
     name: str
     state: str
     group: int
     zone: int
-    kind: int | None  # index of its class in the settings' list; None: as it was
+    kind: int | None  # index in the settings' list of kinds; None: unchanged
     weight: float
-    born: int | None  # by the router's clock; None for long ago
+    born: int | None  # by the router's clock; None: long ago
 
 
 class Workers:
-    """The list as this router holds it: one Endpoint for each worker that was ever listed."""
+    """This router's copy of the worker list: one Endpoint for each worker that was ever listed."""
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile
-        self.endpoints: dict[str, door.Endpoint] = {}  # by id; one that another worker replaced is not in it
-        self.ids: weakref.WeakKeyDictionary[door.Endpoint, str] = weakref.WeakKeyDictionary()  # also of those forgotten
+        self.endpoints: dict[
+            str, door.Endpoint
+        ] = {}  # by id; without endpoints that another worker of the same id replaced
+        self.ids: weakref.WeakKeyDictionary[door.Endpoint, str] = (
+            weakref.WeakKeyDictionary()
+        )  # also of endpoints that were replaced or forgotten
 
     def update(self, entries: Iterable[WorkerEntry], whole: bool, unread: Iterable[str] = ()) -> list[door.Endpoint]:
-        """Brings the boxes to what these entries say, and gives those that were named or ended.
+        """Applies the entries to the endpoints; returns the endpoints that were named or are gone now.
 
-        A whole list ends those that it does not name; `unread`: ids that it names in entries that cannot be read.
+        A whole list marks as gone each worker that it does not name. `unread`: ids that it names in malformed entries.
         """
         changed: list[door.Endpoint] = []
         named = set(unread)
@@ -234,19 +254,21 @@
             changed += self._update_one(entry)
             named.add(entry.name)
         if whole:
-            changed += self._end_all_but(named)
+            changed += self._remove_unlisted(named)
         return changed
 
     def _update_one(self, entry: WorkerEntry) -> list[door.Endpoint]:
-        """The boxes that one entry changed: its own, before it one of the same id that another worker replaced."""
+        """The endpoints that one entry changed: its own, preceded by one of the same id that it replaced, if any."""
         changed, endpoint = [], self.endpoints.get(entry.name)
         if (
             endpoint is not None
             and entry.kind is not None
             and entry.state != "gone"
-            and not self._is_of(endpoint, entry.kind)
+            and not self._matches_kind(endpoint, entry.kind)
         ):
-            endpoint.state = "gone"  # what the module knows of it holds for its role and memory: another worker begins
+            endpoint.state = (
+                "gone"  # its samples and estimates hold only for its old role and memory; it becomes a new worker
+            )
             changed.append(endpoint)
             endpoint = None
         if endpoint is None:
@@ -261,8 +283,8 @@
         changed.append(endpoint)
         return changed
 
-    def _end_all_but(self, named: set[str]) -> list[door.Endpoint]:
-        """The boxes that ended, as a whole list does not name them."""
+    def _remove_unlisted(self, named: set[str]) -> list[door.Endpoint]:
+        """Marks as gone, and returns, the endpoints that a whole list does not name."""
         ended = [
             endpoint for name, endpoint in self.endpoints.items() if name not in named and endpoint.state != "gone"
         ]
@@ -271,20 +293,20 @@
         return ended
 
     def forget(self, name: str) -> None:
-        """A worker that is gone for good: one of its id that comes later is another one."""
+        """Removes a worker that is gone for good; a later entry with its id is a new worker."""
         del self.endpoints[name]
 
     def memory_of(self, kind: int) -> int:
-        """Tokens that a worker of this kind holds; 0 where the settings do not tell."""
+        """Memory of a worker of this kind in tokens; 0 where the settings do not give it."""
         memory = self.profile.memory
         return int(memory[kind]) if kind < len(memory) else 0
 
-    def _is_of(self, endpoint: door.Endpoint, kind: int) -> bool:
+    def _matches_kind(self, endpoint: door.Endpoint, kind: int) -> bool:
         return (endpoint.role, endpoint.memory) == (self.profile.roles[kind], self.memory_of(kind))
 
     def _add(self, entry: WorkerEntry) -> door.Endpoint:
         if entry.kind is None:
-            raise ValueError(f"{entry.name}: nothing is known of a new worker without its kind")
+            raise ValueError(f"{entry.name}: the entry of a new worker must give its kind")
         endpoint = self.endpoints[entry.name] = door.Endpoint(
             mark=zlib.crc32(entry.name.encode()),
             role=self.profile.roles[entry.kind],
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -100,7 +100,7 @@
         raise KeyError("oh")
 
     monkeypatch.setattr(wire.Router, "arrived", broken)
-    monkeypatch.setattr(wire, "in_module", lambda fault: True)
+    monkeypatch.setattr(wire, "raised_in_module", lambda fault: True)
     replies = play(START, ASK)
     assert replies[1] == ["CRASH router_0 KeyError: 'oh'"]
 
