--- a/ramppulley/wire/__init__.py
+++ b/ramppulley/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs and sockets: bytes to messages and back, without any opinion on what they are for."""
+"""Codecs and sockets: convert bytes to messages and back, and know nothing of what the messages are used for."""
--- a/ramppulley/wire/faults.py
+++ b/ramppulley/wire/faults.py
@@ -1,8 +1,8 @@
-"""What can be wrong with bytes that came in."""
+"""Errors in received bytes."""
 
 
 class BadMessage(Exception):
-    """Bytes that do not follow the protocol; answered with `status` towards a client, proof of a broken engine else."""
+    """Bytes that violate the protocol. From a client: answered with `status`; from an engine: proof that it is faulty."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -10,4 +10,4 @@
 
 
 class TooLarge(BadMessage):
-    """A head, body or event over its stated bound."""
+    """A message head, body or event over its size limit."""
--- a/ramppulley/wire/http.py
+++ b/ramppulley/wire/http.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 without sockets: bytes in, whole requests or pieces of answers out (RFC 9112).
+"""HTTP/1.1 without sockets: bytes in, whole requests or pieces of responses out (RFC 9112).
 
-Parsing is llhttp's, in its strict mode: two lengths, a length beside a transfer coding, a bare LF and white space in
-or before a field name are refused, so that two parsers on one path cannot disagree on where a message ends.
+Parsing is done by llhttp in strict mode. It rejects two Content-Length fields, a Content-Length together with
+Transfer-Encoding, a bare LF, and whitespace in or before a field name, so that two parsers on one path cannot disagree on
+where a message ends (request smuggling).
 """
 
 from collections import deque
@@ -39,7 +40,7 @@
 
 @dataclass
 class Request:
-    """One whole request; header names are in lower case, a repeated field's values are joined by commas."""
+    """One whole request; header names are in lower case, and the values of a repeated field are joined by commas."""
 
     method: str = ""
     target: str = ""
@@ -52,24 +53,25 @@
         return self.target.partition("?")[0]
 
 
-class _Parsing:
-    """A parser and its callbacks hold each other: without `close` each waits, some KB, for a rare collection of all."""
+class _CallbackParser:
+    """Holds an httptools parser that calls back into this object: a reference cycle of some KB. Without `close` it stays in
+    memory until a full garbage collection, which is rare."""
 
     _parser: Any
     _fault: BadMessage | None
 
     def close(self) -> None:
-        """It parses no more."""
+        """Breaks the reference cycle; nothing can be parsed afterwards."""
         self._parser = None
 
-    def _stop(self, fault: BadMessage) -> NoReturn:
-        """Out of a callback: the parser raises an error of its own, and `feed` this one in its place."""
+    def _fail(self, fault: BadMessage) -> NoReturn:
+        """To be called from a callback: the parser raises its own error, which `feed` replaces by this one."""
         self._fault = fault
         raise fault
 
 
-class _Head:
-    """What both parsers count: the bytes and the fields of one head."""
+class _HeadState:
+    """The fields and the size of one message head, for both parsers."""
 
     def __init__(self) -> None:
         self.headers: dict[str, str] = {}
@@ -81,11 +83,11 @@
         self.headers[field_name] = field_value if before is None else f"{before}, {field_value}"
 
 
-class RequestParser(_Parsing):
-    """Feeds on what a client sent; whole requests wait in `ready`.
+class RequestParser(_CallbackParser):
+    """Parses what a client sent; whole requests are queued in `ready`.
 
-    Bounded: a head by MAX_HEAD_BYTES, a body by `max_body_bytes`, waiting requests by what one `feed` brings (the reader of
-    the socket feeds no more while any wait).
+    A head is limited to MAX_HEAD_BYTES and a body to `max_body_bytes`. The queue is limited by the bytes of one `feed`, as
+    the caller feeds no more while a request is queued.
 
     >>> parser = RequestParser(100)
     >>> parser.feed(b"POST /a?b HTTP/1.1\\r\\nHost: x\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
@@ -107,48 +109,52 @@
         if data:
             self.begun = True
         if self._head.in_head:
-            self._fed += len(data)
+            self._fed_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as fault:
-            raise BadMessage("upgrades are not spoken here") from fault
+            raise BadMessage("protocol upgrades are not supported") from fault
         except httptools.HttpParserError as fault:
             raise (self._fault or BadMessage(str(fault).strip("'\""))) from fault
-        if self._head.in_head and self._fed > 2 * MAX_HEAD_BYTES:  # a field that never ends is not told until it does
-            raise TooLarge(f"the head is over {MAX_HEAD_BYTES} bytes", 431)
+        if (
+            self._head.in_head and self._fed_bytes > 2 * MAX_HEAD_BYTES
+        ):  # llhttp reports a field only when it is complete
+            raise TooLarge(f"the header section exceeds {MAX_HEAD_BYTES} bytes", 431)
 
     def on_message_begin(self) -> None:
-        self._head, self._target, self._length, self._fed = _Head(), b"", 0, 0
+        self._head, self._target, self._body_bytes, self._fed_bytes = _HeadState(), b"", 0, 0
         self._body: list[bytes] = []
         self.begun = True
 
     def on_url(self, url: bytes) -> None:
         self._target += url
-        self._grown(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head.add(name, value)
-        self._grown(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
-    def _grown(self, by: int) -> None:
+    def _count_head_bytes(self, by: int) -> None:
         self._head.size += by
         if self._head.size > MAX_HEAD_BYTES or len(self._head.headers) > MAX_HEADER_FIELDS:
-            self._stop(TooLarge(f"the head is over {MAX_HEAD_BYTES} bytes or {MAX_HEADER_FIELDS} fields", 431))
+            self._fail(
+                TooLarge(f"the header section exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADER_FIELDS} fields", 431)
+            )
 
     def on_headers_complete(self) -> None:
         self._head.in_head = False
         headers = self._head.headers
         if "host" in headers and "," in headers["host"]:
-            self._stop(BadMessage("more than one Host"))
+            self._fail(BadMessage("more than one Host header field"))
         length = headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.max_body_bytes:
-            self._stop(TooLarge(f"the body is over {self.max_body_bytes} bytes", 413))
+            self._fail(TooLarge(f"the body exceeds {self.max_body_bytes} bytes", 413))
         self.wants_continue = headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, body: bytes) -> None:
-        self._length += len(body)
-        if self._length > self.max_body_bytes:
-            self._stop(TooLarge(f"the body is over {self.max_body_bytes} bytes", 413))
+        self._body_bytes += len(body)
+        if self._body_bytes > self.max_body_bytes:
+            self._fail(TooLarge(f"the body exceeds {self.max_body_bytes} bytes", 413))
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -161,47 +167,47 @@
                 self._parser.should_keep_alive(),
             )
         )
-        self._body = []  # not kept through the request and the idle time after it
+        self._body = []  # frees the memory while the request runs and the connection is idle after it
         self.begun = self.wants_continue = False
 
 
-class AnswerParser(_Parsing):
-    """Feeds on what an engine sent for one request; the body's pieces are taken with `take`.
+class AnswerParser(_CallbackParser):
+    """Parses what an engine sent for one request; `take` returns the body piece by piece.
 
-    `status` is 0 until the head is whole; `done` when the body is. An answer that is framed by the end of the
-    connection is refused: it cannot be told from one cut short. What comes behind the end in one piece with it spoils the
-    connection (`keep_alive`), not the answer.
+    `status` is 0 until the head is complete, and `done` is set when the body is. A response that is framed by the end of
+    the connection is rejected, as it cannot be distinguished from a truncated one. Bytes behind the end of the response
+    that arrive together with it make the connection unusable (`keep_alive` is False), but not the response.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
         self.max_body_bytes, self.status, self.done, self.keep_alive = max_body_bytes, 0, False, False
         self.headers: dict[str, str] = {}
-        self._pieces: list[bytes] = []
-        self._waiting_bytes = 0  # of `_pieces`
+        self._body_pieces: list[bytes] = []
+        self._waiting_bytes = 0  # of `_body_pieces`
         self._fault = None
-        self._parser, self._head = httptools.HttpResponseParser(self), _Head()
+        self._parser, self._head = httptools.HttpResponseParser(self), _HeadState()
 
     def feed(self, data: bytes) -> None:
         """Raises BadMessage or TooLarge."""
         if self.done:
-            raise BadMessage("bytes after the end of the answer")
+            raise BadMessage("bytes after the end of the response")
         if self._head.in_head:
             self._head.size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as fault:
-            raise BadMessage("an upgrade was not asked for") from fault
+            raise BadMessage("protocol upgrade that was not requested") from fault
         except httptools.HttpParserError as fault:
             if self.done:
                 self.keep_alive = False
                 return
             raise (self._fault or BadMessage(str(fault).strip("'\""))) from fault
         if self._head.in_head and self._head.size > MAX_HEAD_BYTES:
-            raise TooLarge("the answer's head is too large", 502)
+            raise TooLarge("the response's header section is too large", 502)
 
     def take(self) -> bytes:
-        """The body so far, once."""
-        whole, self._pieces, self._waiting_bytes = b"".join(self._pieces), [], 0
+        """The body bytes that arrived since the last call."""
+        whole, self._body_pieces, self._waiting_bytes = b"".join(self._body_pieces), [], 0
         return whole
 
     def on_message_begin(self) -> None:
@@ -216,60 +222,60 @@
         if self.done:
             return
         status = self._parser.get_status_code()
-        if status < 200:  # 100 Continue and 103 Early Hints are not the answer
-            self._head = _Head()
+        if status < 200:  # interim responses: 100 Continue, 103 Early Hints
+            self._head = _HeadState()
             return
         self._head.in_head = False
         self.status, self.headers = status, self._head.headers
         chunked = "chunked" in self.headers.get("transfer-encoding", "").lower()
         if "content-length" not in self.headers and not chunked and status not in (204, 304):
-            self._stop(BadMessage("the answer has neither a length nor chunks"))
+            self._fail(BadMessage("the response has neither Content-Length nor chunked encoding"))
 
     def on_body(self, body: bytes) -> None:
         if self.done:
             return
         self._waiting_bytes += len(body)
         if self._waiting_bytes > self.max_body_bytes:
-            self._stop(TooLarge(f"the answer is over {self.max_body_bytes} bytes", 502))
-        self._pieces.append(body)
+            self._fail(TooLarge(f"the response body exceeds {self.max_body_bytes} bytes", 502))
+        self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
         if self.status and not self.done:
             self.done, self.keep_alive = True, self._parser.should_keep_alive()
 
 
-def _fields(headers: Mapping[str, object]) -> Iterator[str]:
+def _header_lines(headers: Mapping[str, object]) -> Iterator[str]:
     for name, value in headers.items():
         if "\r" in str(value) or "\n" in str(value):
-            raise BadMessage(f"a line break in the field {name}")
+            raise BadMessage(f"line break in header field {name}")
         yield f"{name}: {value}\r\n"
 
 
 def request(method: str, target: str, headers: Mapping[str, object], body: bytes = b"") -> bytes:
-    """One request with its length.
+    """One request, with Content-Length.
 
     >>> request("GET", "/healthz", {"host": "a"})
     b'GET /healthz HTTP/1.1\\r\\nhost: a\\r\\ncontent-length: 0\\r\\n\\r\\n'
     """
-    head = f"{method} {target} HTTP/1.1\r\n{''.join(_fields(headers))}content-length: {len(body)}\r\n\r\n"
+    head = f"{method} {target} HTTP/1.1\r\n{''.join(_header_lines(headers))}content-length: {len(body)}\r\n\r\n"
     return head.encode("latin-1") + body
 
 
 def answer(status: int, headers: Mapping[str, object], body: bytes = b"", keep_alive: bool = True) -> bytes:
-    """One whole answer with its length."""
+    """One whole response, with Content-Length."""
     end = "" if keep_alive else "connection: close\r\n"
     head = (
-        f"HTTP/1.1 {status} {STATUS.get(status, 'Other')}\r\n{''.join(_fields(headers))}{end}"
+        f"HTTP/1.1 {status} {STATUS.get(status, 'Other')}\r\n{''.join(_header_lines(headers))}{end}"
         f"content-length: {len(body)}\r\n\r\n"
     )
     return head.encode("latin-1") + body
 
 
 def answer_head(status: int, headers: Mapping[str, object], keep_alive: bool = True) -> bytes:
-    """The head of an answer that comes in chunks."""
+    """The head of a response with chunked encoding."""
     end = "" if keep_alive else "connection: close\r\n"
     return (
-        f"HTTP/1.1 {status} {STATUS.get(status, 'Other')}\r\n{''.join(_fields(headers))}{end}"
+        f"HTTP/1.1 {status} {STATUS.get(status, 'Other')}\r\n{''.join(_header_lines(headers))}{end}"
         "transfer-encoding: chunked\r\n\r\n"
     ).encode("latin-1")
 
--- a/ramppulley/wire/platform.py
+++ b/ramppulley/wire/platform.py
@@ -1,6 +1,7 @@
-"""The platform's words, without sockets: headers, extras, load reports and entries of the list.
+"""The platform's message formats, without sockets: request headers, load reports and entries of the endpoint list.
 
-What cannot be read raises BadMessage where a client said it, and is no report or no entry where a machine did.
+Malformed input from a client raises BadMessage. A malformed load report counts as no report, and a malformed list entry
+leaves its worker unchanged.
 """
 
 import json
@@ -13,28 +14,28 @@
 from ramppulley.wire.faults import BadMessage
 
 READY, LOAD, LEASES, LIST = "/-/ready", "/-/load", "/kv/leases/", "/api/targets"
-ID, CASE, KEY, LIMIT, EXTRA = "req-id", "req-kind", "req-key", "req-deadline-ms", "req-extra"
-RETRY, HINT, OWNER = "req-retry", "req-cost", "req-owner"
+ID, CASE, SESSION, LIMIT, EXTRA = "req-id", "req-kind", "req-key", "req-deadline-ms", "req-extra"
+RETRY, COST_HINT, TENANT = "req-retry", "req-cost", "req-owner"
 REPORT, NEVER = "srv-load", "srv-declined"
-IDEMPOTENCY_KEY = "idempotency-key"  # of classes whose workers drop repeats by it
-PASSED_ON = CASE, KEY, EXTRA, RETRY, HINT, OWNER, IDEMPOTENCY_KEY, "content-type"
+IDEMPOTENCY_KEY = "idempotency-key"  # of request classes whose workers drop repeated requests by it
+PASSED_ON = CASE, SESSION, EXTRA, RETRY, COST_HINT, TENANT, IDEMPOTENCY_KEY, "content-type"
 DRAINING = "Terminating"
 STATES = {"Ready": "ready", DRAINING: "draining", "Gone": "gone"}
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}")
-DIGITS = re.compile(r"[0-9]{1,9}")  # more is no figure of this platform
-LENGTHS = {"prompt_len": "prompt", "prefix_len": "prefix_tokens", "max_out": "max_out"}
-TEXT_MOST, INFINITE = 256, float("inf")
+DIGITS = re.compile(r"[0-9]{1,9}")  # no valid number of this platform is longer
+EXTRA_FIELDS = {"prompt_len": "prompt", "prefix_len": "prefix_tokens", "max_out": "max_out"}
+MAX_TEXT_CHARS, INFINITY = 256, float("inf")
 
 
 class RequestHeaders(NamedTuple):
-    """What a client's headers say of its request. Times: microseconds of the hint, milliseconds of the deadline."""
+    """The parsed headers of a client's request."""
 
     name: str
     request_class: str
     deadline_ms: int
     session: str = ""
     tenant: str = ""
-    hint_us: int | None = None
+    hint_us: int | None = None  # the client's hint of the cost, in microseconds
     prompt: int | None = None
     max_out: int = 0
     prefix: str = ""
@@ -47,12 +48,12 @@
     4800
     """
     if not DIGITS.fullmatch(text):
-        raise BadMessage(f"{what}: a whole number is needed, not {text[:40]!r}")
+        raise BadMessage(f"{what}: an integer is required, not {text[:40]!r}")
     return int(text)
 
 
 def parse_request_headers(headers: Mapping[str, str]) -> RequestHeaders:
-    """Raises BadMessage for headers that do not tell who asks for what and how long.
+    """Parses a client's headers; raises BadMessage for a malformed id, deadline or number. The class is not checked here.
 
     >>> parse_request_headers({"req-id": "9b", "req-kind": "chat", "req-deadline-ms": "4800",
     ...        "req-extra": "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800"}).prefix_tokens
@@ -60,67 +61,67 @@
     """
     name, request_class = headers.get(ID, ""), headers.get(CASE, "")
     if not NAME.fullmatch(name):
-        raise BadMessage(f"{ID}: a name of 1 to 128 letters and digits is needed")
+        raise BadMessage(f"{ID}: 1 to 128 letters, digits and characters of ._:- are required")
     deadline_ms = number(headers.get(LIMIT, ""), LIMIT)
     if not deadline_ms:
-        raise BadMessage(f"{LIMIT}: the time is up")
-    hint_us = number(headers[HINT], HINT) if HINT in headers else None
+        raise BadMessage(f"{LIMIT}: the deadline has already passed")
+    hint_us = number(headers[COST_HINT], COST_HINT) if COST_HINT in headers else None
     return RequestHeaders(
         name,
         request_class,
         deadline_ms,
-        session=headers.get(KEY, "")[:TEXT_MOST],
-        tenant=headers.get(OWNER, "")[:TEXT_MOST],
+        session=headers.get(SESSION, "")[:MAX_TEXT_CHARS],
+        tenant=headers.get(TENANT, "")[:MAX_TEXT_CHARS],
         hint_us=hint_us,
         **_parse_extra(headers.get(EXTRA, "")),
     )
 
 
 def _parse_extra(text: str) -> dict[str, Any]:
-    """The fields of `RequestHeaders` that the extra header names; raises BadMessage."""
+    """The fields of `RequestHeaders` that the header `req-extra` gives; raises BadMessage."""
     fields: dict[str, Any] = {}
     for part in text.split(","):
-        word, _, value = part.strip().partition("=")
-        if word == "prefix":
-            fields["prefix"] = "" if value.strip("0-") == "" else value[:TEXT_MOST]
-        elif word in LENGTHS:
-            fields[LENGTHS[word]] = number(value, f"{EXTRA}: {word}")
+        key, _, value = part.strip().partition("=")
+        if key == "prefix":
+            fields["prefix"] = "" if value.strip("0-") == "" else value[:MAX_TEXT_CHARS]
+        elif key in EXTRA_FIELDS:
+            fields[EXTRA_FIELDS[key]] = number(value, f"{EXTRA}: {key}")
     return fields
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     value = float(text)
     if math.isinf(value):
         raise ValueError(f"number out of range: {text[:40]}")
     return value
 
 
-def _no_number(text: str) -> NoReturn:
-    raise ValueError(f"no number of JSON: {text}")
+def _reject_constant(text: str) -> NoReturn:
+    raise ValueError(f"not a JSON number: {text}")
 
 
-_decoder = json.JSONDecoder(parse_float=_finite, parse_constant=_no_number)
+_decoder = json.JSONDecoder(parse_float=_parse_finite, parse_constant=_reject_constant)
 
 
 def decode(text: str | bytes) -> Any:
-    """The value of a JSON text, and of nothing near to one; raises BadMessage.
+    """Decodes JSON strictly; raises BadMessage.
 
-    By the standard library: msgspec takes an eighth of a start's CPU to load.
+    It uses the standard library, as loading msgspec takes an eighth of the CPU time of a start.
     """
     try:
         text = text if isinstance(text, str) else str(text, "utf-8")
         value = _decoder.decode(text)
-        if "\\u" in text:  # half of a surrogate pair is no text: whoever encodes it would fail
+        if "\\u" in text:  # an unpaired surrogate cannot be encoded later on
             json.dumps(value, ensure_ascii=False).encode()
         return value
     except ValueError as fault:
         raise BadMessage(str(fault)) from fault
     except RecursionError as fault:
-        raise BadMessage("nested too deep") from fault
+        raise BadMessage("JSON is nested too deeply") from fault
 
 
 def figures(text: str | bytes | None) -> dict[str, Any] | None:
-    """A load report's figures; None for what is no report.
+    """The values of a load report; None for a malformed one.
 
     >>> figures(b'{"inflight":7}'), figures("noise"), figures(None)
     ({'inflight': 7}, None, None)
@@ -137,56 +138,56 @@
     >>> lease("9b1f")
     '/kv/leases/9b1f'
     """
-    return LEASES + name.replace(":", "%3A")  # the one letter of NAME that needs it
+    return LEASES + name.replace(":", "%3A")  # the only character of NAME that is percent-encoded
 
 
 class EndpointUpdate(NamedTuple):
-    """One object of the list's watch: the whole endpoint list, or what changed in it."""
+    """One update from the watch of the endpoint list: the whole list, or its changed entries."""
 
     seq: int
     whole: bool
-    entries: list[dict[str, Any]]  # as they were sent: each is parsed by itself
+    entries: list[dict[str, Any]]  # not parsed yet: each is parsed by itself, so that a malformed one harms no other
 
 
 class Address(NamedTuple):
-    """Where a peer listens."""
+    """The address that a peer listens on."""
 
     host: str
     port: int
 
 
 class EndpointEntry(NamedTuple):
-    """What an entry of the list says of its endpoint, beside its id and state."""
+    """An entry of the endpoint list without its id and state."""
 
     group: int
-    kind: int  # index of its class in the settings' list
+    kind: int  # index in the settings' list of kinds
     weight: float
-    born_ms: int  # since 1970
+    born_ms: int  # milliseconds since 1970
     address: Address
 
 
 def parse_update(text: str | bytes) -> EndpointUpdate:
-    """One line of the watch or the whole list; raises BadMessage."""
+    """Parses one line of the watch, or the whole list; raises BadMessage."""
     try:
         value = decode(text)
     except BadMessage as fault:
-        raise BadMessage(f"the list cannot be read: {fault}") from fault
+        raise BadMessage(f"malformed endpoint list: {fault}") from fault
     return update_from(value)
 
 
 def update_from(value: Any) -> EndpointUpdate:
-    """The update that a decoded JSON value is; raises BadMessage."""
+    """The update in a decoded JSON value; raises BadMessage."""
     hosts = value.get("hosts") if isinstance(value, dict) else None
     if not isinstance(hosts, list) or type(value.get("seq")) is not int:
-        raise BadMessage("the list has no seq or no hosts")
+        raise BadMessage("endpoint list without a valid seq or hosts")
     whole = value.get("whole", False)
-    if not isinstance(whole, bool):  # one that is taken for whole ends all workers that it does not name
-        raise BadMessage("the list does not say whether it is whole")
+    if not isinstance(whole, bool):  # a list taken for whole would remove all workers that it does not name
+        raise BadMessage("endpoint list whose field `whole` is not true or false")
     return EndpointUpdate(value["seq"], whole, [entry if isinstance(entry, dict) else {} for entry in hosts])
 
 
 def parse_address(text: Any) -> Address:
-    """The address of a `dial`; raises BadMessage. A host name is none: there is no DNS, and the resolver would block.
+    """The address in the field `dial`; raises BadMessage, also for a host name: there is no DNS, and resolving would block.
 
     >>> parse_address("10.1.0.18:8081"), parse_address("[::1]:80")
     (Address(host='10.1.0.18', port=8081), Address(host='::1', port=80))
@@ -200,32 +201,32 @@
     except (OSError, ValueError):
         port = ""
     if not DIGITS.fullmatch(port) or not 0 < int(port) < 65536:
-        raise BadMessage(f"no address: {text!r:.60}")
+        raise BadMessage(f"not an IP address with a port: {text!r:.60}")
     return Address(host, int(port))
 
 
 def parse_health(entry: Mapping[str, Any]) -> tuple[str, str]:
     """(id, state) of one entry; raises BadMessage."""
-    name, word = entry.get("host"), entry.get("health")
+    name, health = entry.get("host"), entry.get("health")
     if not isinstance(name, str) or not name:
-        raise BadMessage("an entry without a host")
-    if not isinstance(word, str) or word not in STATES:
-        raise BadMessage(f"{name!r:.60}: a health without a meaning: {word!r:.60}")
-    return name, STATES[word]
+        raise BadMessage("endpoint list entry without a host")
+    if not isinstance(health, str) or health not in STATES:
+        raise BadMessage(f"{name!r:.60}: unknown health: {health!r:.60}")
+    return name, STATES[health]
 
 
 def parse_entry(entry: Mapping[str, Any], kinds: Sequence[str]) -> EndpointEntry:
-    """The rest of one entry; raises BadMessage."""
+    """The other fields of one entry; raises BadMessage."""
     name, kind = f"{entry.get('host')!r:.60}", entry.get("class")
     if kind not in kinds:
-        raise BadMessage(f"{name}: a class that the settings do not name: {kind!r:.60}")
+        raise BadMessage(f"{name}: class not named in the settings: {kind!r:.60}")
     try:
         share = float(entry.get("share") or 1.0)
         group, born_ms = int(entry.get("block") or 0), int(entry.get("born_ms") or 0)
     except (TypeError, ValueError, OverflowError) as fault:
         raise BadMessage(f"{name}: {str(fault):.60}") from fault
-    if not 0 < share < INFINITE:  # nor NaN: it is divided by
-        raise BadMessage(f"{name}: no share: {share}")
+    if not 0 < share < INFINITY:  # also rejects NaN; the share is used as a divisor
+        raise BadMessage(f"{name}: the share must be positive and finite: {share}")
     try:
         address = parse_address(entry.get("dial"))
     except BadMessage as fault:
--- a/ramppulley/wire/sockets.py
+++ b/ramppulley/wire/sockets.py
@@ -1,7 +1,7 @@
-"""Stream sockets on asyncio's `sock_*` calls: the transport of one connection, a connect and a listener.
+"""Stream sockets on asyncio's `sock_*` calls: the transport of one connection, `connect` and a listener.
 
-Each transport reuses one receive buffer. `send` returns once the kernel has accepted every byte, so that a slow peer slows
-down its sender, and nothing is read ahead of its consumer.
+Each transport reuses one receive buffer. `send` returns once the kernel has accepted every byte, and nothing is read ahead
+of its consumer, so that a slow peer slows down its sender (backpressure).
 """
 
 import asyncio
@@ -13,16 +13,16 @@
 MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = 4 * 1024, 64 * 1024  # a receive that fills its buffer gets a larger one
 LINGER_RESET = b"\x01\0\0\0\0\0\0\0"  # struct linger: on, 0 seconds; a close then sends a reset
 ACCEPT_PAUSE_S = 0.02  # after a failed accept
-MAX_FAILED_ACCEPTS = 16  # in a row, of a listener that stops
-CLOSE_AFTER_EVICTION_TIMEOUT_S = 0.1  # an evicted connection gets so long to close before another is evicted
-BACKLOG_DRAIN_TIMEOUT_S = 0.5  # a listener that stops accepts what waits in its backlog for so long
+MAX_FAILED_ACCEPTS = 16  # in a row, while a listener stops
+CLOSE_AFTER_EVICTION_TIMEOUT_S = 0.1  # how long an evicted connection has to close before another is evicted
+BACKLOG_DRAIN_TIMEOUT_S = 0.5  # how long a listener that stops accepts the connections in its backlog
 
 
 class ReadableEvent:
-    """Signals that a socket can be read, without reading: until its owner does, the bytes stay in the kernel.
+    """Signals that a socket is readable without reading it: the bytes stay in the kernel until the owner reads them.
 
-    A receive that is under way instead may have taken the bytes some turns of the loop before its task learns of it;
-    whoever cancels the task then, or shuts the socket down, loses them.
+    A pending receive, in contrast, may have taken the bytes some iterations of the event loop before its task resumes.
+    Cancelling the task or shutting the socket down in between loses them.
     """
 
     __slots__ = ("_sock", "_loop", "_future")
@@ -32,14 +32,14 @@
         self._future: asyncio.Future[None] | None = None
 
     def wait(self) -> asyncio.Future[None]:
-        """A future that is done once bytes, an end or a reset can be read, or once `wake` was called."""
+        """A future that is done once bytes, the end of the stream or a reset can be read, or once `wake` is called."""
         if self._future is None or self._future.done():
             self._future = self._loop.create_future()
             self._loop.add_reader(self._sock, self.wake)
         return self._future
 
     def wake(self) -> None:
-        """Ends the wait; only a read tells whether there is something to read."""
+        """Ends the wait. Whether there is anything to read, only a read shows."""
         if self._future is None:
             return
         self._loop.remove_reader(self._sock)
@@ -47,13 +47,13 @@
             self._future.set_result(None)
 
     def close(self) -> None:
-        """To be called before the socket is closed."""
+        """Must be called before the socket is closed."""
         self.wake()
         self._future = None
 
 
 def _disable_nagle(sock: socket.socket) -> None:
-    """Small writes go out at once. Where the system has no memory for it, they are held back a little, and arrive."""
+    """Sends small writes at once. If the option cannot be set, for lack of memory, they are only delayed a little."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
@@ -84,7 +84,7 @@
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             _disable_nagle(sock)
         self.sock, self.loop, self.closed = sock, asyncio.get_running_loop(), False
-        self.opened_at: float | None = None  # by the clock of whoever sets it
+        self.opened_at: float | None = None  # by the clock of the code that sets it
         self.readable = ReadableEvent(sock, self.loop)
         self._pending_calls = 0
         self.idle_before_use_s: float | None = None  # idle time before the present use; None for a new connection
@@ -92,7 +92,7 @@
         self._view: memoryview | None = None  # of the receive buffer, which is allocated at the first read
 
     async def receive(self) -> bytes:
-        """The next bytes; b"" at the end."""
+        """The next bytes; b"" at the end of the stream."""
         view = self._buffer_view()
         self._pending_calls += 1
         try:
@@ -102,7 +102,7 @@
         return self._received(view, count)
 
     def receive_nowait(self) -> bytes | None:
-        """The bytes that have arrived; b"" at the end, None where there are none."""
+        """The bytes that have arrived; b"" at the end of the stream, None where nothing has arrived."""
         view = self._buffer_view()
         try:
             count = self.sock.recv_into(view)
@@ -112,24 +112,24 @@
 
     def _buffer_view(self) -> memoryview:
         if self.closed:
-            raise ConnectionResetError("closed here")
+            raise ConnectionResetError("the connection was closed locally")
         if self._view is None:
             self._view = memoryview(bytearray(MIN_BUFFER_BYTES))
         return self._view
 
     def _received(self, view: memoryview, count: int) -> bytes:
-        """The received bytes; fits the buffer to the traffic."""
+        """The received bytes; adapts the buffer size to the traffic."""
         received = bytes(view[:count])
-        if count == len(view) < MAX_BUFFER_BYTES:  # much is arriving; few token streams ever need this
+        if count == len(view) < MAX_BUFFER_BYTES:  # a bulk transfer; token streams rarely need this
             self._view = memoryview(bytearray(min(MAX_BUFFER_BYTES, 4 * count)))
-        elif count < len(view) > MIN_BUFFER_BYTES:  # all has arrived; many idle connections must not hold so much each
+        elif count < len(view) > MIN_BUFFER_BYTES:  # all was read; many idle connections must not keep large buffers
             self._view = memoryview(bytearray(MIN_BUFFER_BYTES))
         return received
 
     async def send(self, data: bytes) -> None:
         """Returns once the kernel has accepted all bytes."""
         if self.closed:
-            raise ConnectionResetError("closed here")
+            raise ConnectionResetError("the connection was closed locally")
         self._pending_calls += 1
         try:
             await self.loop.sock_sendall(self.sock, data)
@@ -152,24 +152,24 @@
         return False
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have arrived that nobody has read."""
+        """Whether bytes have arrived that have not been read."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
-            return False  # nothing, or reset
+            return False  # nothing has arrived, or the connection was reset
 
     def shutdown_write(self) -> None:
-        """The peer reads the end of the stream; what it still sends can be read here."""
+        """Sends the end of the stream to the peer; what the peer still sends can be read."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # already disconnected
 
     def shutdown_read(self) -> None:
-        """A pending receive ends as if the peer had closed; a pending send goes on.
+        """Ends a pending receive as if the peer had closed the connection; a pending send continues.
 
-        Not for a client's connection: what the client has sent may be read all the same, and could not be told from a
-        request on an open connection.
+        Not for a client's connection: bytes that the client has already sent can still be read, and could not be
+        distinguished from a request on an open connection.
         """
         try:
             self.sock.shutdown(socket.SHUT_RD)
@@ -177,7 +177,7 @@
             pass  # already disconnected
 
     def reset(self) -> None:
-        """Closes with a reset, so that the peer learns at once that nobody reads any more."""
+        """Closes with a reset, so that the peer learns at once that its data is no longer read."""
         if not self.closed:
             try:
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -186,9 +186,9 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the socket, or shuts it down where a call still waits on it, which then closes it.
+        """Closes the socket. If a call is pending on it, only shuts it down, and the call closes it when it ends.
 
-        Its descriptor must not be free for others while the event loop waits on it.
+        The descriptor must not be reused for another socket while the event loop still watches it.
         """
         if self.closed:
             return
@@ -200,7 +200,7 @@
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # already disconnected: the pending call ends by itself
+            pass  # already disconnected: the pending call ends on its own
 
 
 async def connect(host: str, port: int, timeout_s: float) -> Transport:
@@ -220,7 +220,8 @@
 class Listener:
     """Accepts connections and runs `serve(transport)` in a task for each, at most `max_connections` at once.
 
-    One more is closed unserved, unless `free_capacity()` evicts another; it is served once that other has closed.
+    Beyond that limit a new connection is closed unserved, unless `free_capacity()` evicts another one. Then it is served
+    once the evicted one has closed.
     """
 
     def __init__(
@@ -250,29 +251,29 @@
         self._task_ended: asyncio.Future[None] | None = None
         self._readable: ReadableEvent | None = None
         self._stopping = False
-        self._backlog: list[socket.socket] = []  # accepted as it stopped, and not served yet
+        self._backlog: list[socket.socket] = []  # accepted while stopping, and not served yet
 
     def start(self) -> Self:
-        """Begins to accept; needs the running loop."""
+        """Begins to accept; requires a running event loop."""
         loop = asyncio.get_running_loop()
         self._readable = ReadableEvent(self.sock, loop)
         self._start_accepting(self._readable)
         return self
 
     async def _accept(self, readable: ReadableEvent) -> None:
-        """Until `stop`; the backlog is still served then, as the kernel has accepted those connections already."""
+        """Runs until `stop`, and then serves the backlog, as the kernel has already accepted those connections."""
         while True:
             try:
                 if not await self._accept_next(readable):
                     return
-            except OSError as error:  # out of descriptors or memory, or the peer left in between
+            except OSError as error:  # out of descriptors or memory, or the peer has disconnected already
                 self.failed_accepts += 1
                 if error.errno in (errno.EMFILE, errno.ENFILE):
-                    self.free_capacity()  # or nobody is accepted until a connection ends by itself
+                    self.free_capacity()  # else nothing could be accepted until a connection ends on its own
                 await asyncio.sleep(ACCEPT_PAUSE_S)
 
     async def _accept_next(self, readable: ReadableEvent) -> bool:
-        """Accepts one connection, or waits for one; whether there may be more. Raises OSError."""
+        """Accepts one connection, or waits for one. Returns False once no more may come. Raises OSError."""
         if self._stopping:
             await self._serve_backlog(readable)
             return False
@@ -282,13 +283,13 @@
             await readable.wait()
             return True
         await self._serve_or_reject(sock)
-        await asyncio.sleep(0)  # the other tasks' turn, however many connections arrive
+        await asyncio.sleep(0)  # lets the other tasks run, however many connections arrive
         return True
 
     async def _serve_backlog(self, readable: ReadableEvent) -> None:
-        """Serves what the kernel has accepted, and closes the listening socket in the same step of this task: a connection
-        that came in between would be reset."""
-        if self.sock.fileno() >= 0:  # else one of them could not be set up, and the rest is left
+        """Serves the connections that the kernel has accepted. There is no await between the last accept and the close of
+        the listening socket: a connection that arrived in between would be reset."""
+        if self.sock.fileno() >= 0:  # otherwise it is called again, after a socket that could not be set up
             while (sock := self._accept_now()) is not None:
                 self._backlog.append(sock)
             readable.close()
@@ -297,7 +298,7 @@
             await self._serve_or_reject(self._backlog.pop(0))
 
     def _accept_now(self) -> socket.socket | None:
-        """The next connection of the backlog; None where there is none, or none can be accepted."""
+        """The next connection of the backlog; None if there is none, or if accepting keeps failing."""
         for _ in range(MAX_FAILED_ACCEPTS):
             try:
                 return self.sock.accept()[0]
@@ -309,7 +310,7 @@
         return None
 
     async def _serve_or_reject(self, sock: socket.socket) -> None:
-        """Raises OSError where the socket cannot be set up, which is closed then."""
+        """Raises OSError if the socket cannot be set up; it is closed then."""
         if await self._wait_for_capacity():
             self._start_serving(sock)
         else:
@@ -317,7 +318,7 @@
             sock.close()
 
     def _start_serving(self, sock: socket.socket) -> None:
-        """Raises OSError where the socket cannot be set up, which is closed then."""
+        """Raises OSError if the socket cannot be set up; it is closed then."""
         try:
             transport = Transport(sock)
         except OSError:
@@ -328,11 +329,13 @@
         task.add_done_callback(self._on_task_done)
 
     def _on_accepting_done(self, task: asyncio.Task[None]) -> None:
-        """Accepting goes on whatever ended its task: a process must not listen and serve nobody."""
+        """Restarts the accept task after any error: a process must not keep listening without accepting."""
         if task.cancelled() or task.exception() is None or self._readable is None:
             return
         loop = asyncio.get_running_loop()
-        loop.call_exception_handler({"message": "fault while accepting", "exception": task.exception(), "task": task})
+        loop.call_exception_handler(
+            {"message": "error while accepting connections", "exception": task.exception(), "task": task}
+        )
         loop.call_later(ACCEPT_PAUSE_S, self._start_accepting, self._readable)
 
     def _start_accepting(self, readable: ReadableEvent) -> None:
@@ -343,8 +346,8 @@
     async def _wait_for_capacity(self) -> bool:
         """Whether one more connection may be served, evicting others where needed.
 
-        An evicted connection's descriptor is free a turn later. The new one waits for that, or a flood would hold more
-        than `max_connections`.
+        The descriptor of an evicted connection is released in a later iteration of the event loop. The new connection waits
+        for that; otherwise a flood could hold more than `max_connections`.
         """
         while len(self.tasks) >= self.max_connections:
             if not self.free_capacity():
@@ -362,12 +365,12 @@
         try:
             await self.serve(transport)
         except (OSError, asyncio.CancelledError):
-            pass  # the peer left, or the program ends
+            pass  # the peer disconnected, or the program ends
         finally:
             transport.close()
 
     async def stop(self, timeout_s: float = 0.0) -> None:
-        """Accepts no more; open connections get `timeout_s` to end, then are cancelled."""
+        """Stops accepting. Open connections have `timeout_s` to end, and are cancelled then."""
         if self._accepting is not None and self._readable is not None:
             await self._stop_accepting(self._accepting, self._readable, min(timeout_s, BACKLOG_DRAIN_TIMEOUT_S))
         self.sock.close()
@@ -378,7 +381,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def _stop_accepting(self, accepting: asyncio.Task[None], readable: ReadableEvent, timeout_s: float) -> None:
-        """Without a cancel at first: it would lose a connection that was just accepted, or waits for capacity."""
+        """Waits before it cancels: a cancel could lose a connection that was just accepted, or that waits for capacity."""
         self._stopping = True
         readable.wake()
         if timeout_s > 0:
@@ -386,7 +389,7 @@
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
         readable.close()
-        for sock in self._backlog:  # there was no capacity for them in time
+        for sock in self._backlog:  # no capacity became free for them in time
             self.rejected += 1
             sock.close()
         self._backlog = []
--- a/ramppulley/wire/sse.py
+++ b/ramppulley/wire/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as far as the OpenAI API uses them: `data:` lines, a blank line after each event.
+"""Server-sent events in the subset that the OpenAI API uses: `data:` lines, and a blank line after each event.
 
 Source: the HTML standard, section 9.2 'Server-sent events'; OpenAI API reference, 'Streaming'.
 """
@@ -9,14 +9,14 @@
 
 DONE = b"[DONE]"
 FIELDS = b"data:", b":", b"event:", b"id:", b"retry:"
-BLANK_LINE = re.compile(rb"(?:\r\n|\n|\r(?!\n))(?:\r\n|\n|\r)")  # behind a line; each of the three ends a line
+BLANK_LINE = re.compile(rb"(?:\r\n|\n|\r(?!\n))(?:\r\n|\n|\r)")  # after a line; each of the three sequences ends a line
 
 
 class Blocks:
-    """Cuts a byte stream into whole events as they came, for passing on unchanged.
+    """Splits a byte stream into whole events, unchanged, so that they can be forwarded.
 
-    What is no event, or too long, is kept in `fault`: the events before it come first. Blank lines before an event
-    belong to it.
+    Malformed or oversized data is stored as an error in `fault`, not raised, so that the events before it can be forwarded
+    first. Blank lines before an event belong to it.
 
     >>> blocks = Blocks()
     >>> blocks.feed(b"data: 1\\n\\ndata: 2\\n"), blocks.feed(b"\\n: x\\n\\n"), blocks.rest
@@ -26,38 +26,38 @@
     >>> blocks.last()
     b': x'
     >>> blocks.feed(b"data: 5\\n\\nnoise\\n\\n"), blocks.fault
-    (b'data: 5\\n\\n', BadMessage('what came in the stream is no event'))
+    (b'data: 5\\n\\n', BadMessage('malformed server-sent event'))
     """
 
-    def __init__(self, most: int = 64 << 10) -> None:
-        self.most, self.rest = most, b""
+    def __init__(self, max_event_bytes: int = 64 << 10) -> None:
+        self.max_event_bytes, self.rest = max_event_bytes, b""
         self.fault: BadMessage | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """All events that `data` completes, in one piece, up to a fault."""
+        """All events that `data` completes, concatenated, up to a malformed one."""
         whole, begin = self.rest + data if self.rest else data, 0
-        for end in _ends(whole):
+        for end in _event_ends(whole):
             event = whole[begin:end].lstrip(b"\r\n")
             if event and not event.startswith(FIELDS):
-                self.fault = BadMessage("what came in the stream is no event")
+                self.fault = BadMessage("malformed server-sent event")
                 break
             if event:
                 begin = end
         self.rest = whole[begin:]
-        if self.fault is None and len(self.rest) > self.most:
-            self.fault = TooLarge(f"an event is over {self.most} bytes", 502)
+        if self.fault is None and len(self.rest) > self.max_event_bytes:
+            self.fault = TooLarge(f"an event exceeds {self.max_event_bytes} bytes", 502)
         return whole[:begin]
 
     def last(self) -> bytes:
-        """What is left at the end of the stream: comments and blank lines. Raises BadMessage within an event."""
+        """The remainder at the end of the stream: comments and blank lines. Raises BadMessage if it is part of an event."""
         if any(line and not line.startswith(b":") for line in self.rest.splitlines()):
-            raise BadMessage("the stream ended within an event")
+            raise BadMessage("the stream ended in the middle of an event")
         rest, self.rest = self.rest, b""
         return rest
 
 
-def _ends(whole: bytes) -> list[int]:
-    """Where each event of `whole` ends, which is behind a blank line."""
+def _event_ends(whole: bytes) -> list[int]:
+    """The end offset of each event in `whole`, after its blank line."""
     if b"\r" in whole:
         return [blank.end() for blank in BLANK_LINE.finditer(whole)]
     ends, found = [], whole.find(b"\n\n")
@@ -68,23 +68,23 @@
 
 
 class Splitter:
-    """Cuts a byte stream into whole events, so that one that breaks off is never passed on.
+    """Splits a byte stream into the data of whole events; a truncated event is never returned.
 
     >>> splitter = Splitter()
     >>> splitter.feed(b'data: {"a":1}\\n\\ndata: [DO'), splitter.feed(b"NE]\\r\\n\\r\\n"), splitter.rest
     ([b'{"a":1}'], [b'[DONE]'], b'')
     """
 
-    def __init__(self, most: int = 1 << 20) -> None:
-        self.most, self.rest = most, b""
+    def __init__(self, max_event_bytes: int = 1 << 20) -> None:
+        self.max_event_bytes, self.rest = max_event_bytes, b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The data of each event that `data` completes; raises TooLarge for one over `most` bytes."""
+        """The data of each event that `data` completes; raises TooLarge for one over `max_event_bytes`."""
         whole = self.rest + data
         events = BLANK_LINE.split(whole) if b"\r" in whole else whole.split(b"\n\n")
         self.rest = events.pop()
-        if len(self.rest) > self.most:
-            raise TooLarge(f"an event is over {self.most} bytes", 502)
+        if len(self.rest) > self.max_event_bytes:
+            raise TooLarge(f"an event exceeds {self.max_event_bytes} bytes", 502)
         found = []
         for event in events:
             lines = [line[5:].removeprefix(b" ") for line in event.splitlines() if line.startswith(b"data:")]
