--- a/ramppulley/drill/wire.py
+++ b/ramppulley/drill/wire.py
@@ -60,7 +60,7 @@
     def __init__(self, name, seed, profile, now, out, make=Router):
         self.name, self.out, self.now = name, out, now
         self.views, self.view_ids, self.attempts = {}, {}, {}
-        self.open_counts, self.is_final = {}, {}  # both by request
+        self.open_counts, self.is_final = {}, {}  # by request: count of open attempts; whether it has its final answer
         self.notes, self.next_note, self.newly_finished = {}, 0, []
         self.profile = Profile(profile)
         self.workers = Workers(self.profile)
@@ -231,12 +231,7 @@
     def forget(self, view):
         """Drops a request that has its final answer and no open attempt: no further event can name it."""
         if self.is_final.get(view) and not self.open_counts[view]:
-            del (
-                self.views[self.view_ids.pop(view)],
-                self.attempts[view],
-                self.open_counts[view],
-                self.is_final[view],
-            )
+            del self.views[self.view_ids.pop(view)], self.attempts[view], self.open_counts[view], self.is_final[view]
 
     def report(self, text):
         if text in ("-", ""):
@@ -327,7 +322,7 @@
 
 
 def raised_in_module(fault):
-    """Whether an exception was raised in the decision module, not while parsing."""
+    """Whether an exception was raised in the decision module, and not while parsing."""
     step = fault.__traceback__
     while step:
         if step.tb_frame.f_globals.get("__name__") == "ramppulley.rules":
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -127,7 +127,7 @@
         """How workers report their load, and what the values of a report mean."""
         self.how = fields.at("Report.How", one_of(REPORT_MODES))
         self.fields = fields.at("Report.Fields", list_of(one_of(tuple(REPORT_FIELDS))), [])
-        self.means = {
+        self.report_meanings = {
             field: fields.at(f"Specifics.Report{field.upper()}", mapped(REPORT_MEANINGS), default)
             for field, default in REPORT_FIELDS.items()
             if default and field in self.fields
@@ -205,7 +205,9 @@
             and 0 <= v <= MAX_REPORTED_VALUE
         }
         named: dict[str, Any] = {
-            field_name: known[field] * times for field, (field_name, times) in self.means.items() if field in known
+            field_name: known[field] * times
+            for field, (field_name, times) in self.report_meanings.items()
+            if field in known
         }
         latency_ms = known.get("lat_ms")
         latency = None if latency_ms is None else int(latency_ms * 10)
--- a/ramppulley/settings_fields.py
+++ b/ramppulley/settings_fields.py
@@ -111,7 +111,7 @@
         if not isinstance(value, list):
             raise SettingError(f"{name}: a list is required, not {truncated_repr(value)}")
         if same_length and value and len(value) != same_length[1]:
-            raise SettingError(f"{name}: {len(value)} entries, but {same_length[0]} has {same_length[1]}")
+            raise SettingError(f"{name}: {len(value)} entries, but {same_length[1]} in {same_length[0]}")
         return [read(f"{name}[{i}]", entry) for i, entry in enumerate(value)]
 
     return read_all
--- a/tests/settings_rig.py
+++ b/tests/settings_rig.py
@@ -1,9 +1,9 @@
-"""What the tests of settings share: settings objects, and routers that play them.
+"""Shared by the tests of settings: settings objects, and routers that run with them.
 
-The tests in test_settings_*.py show that classes, tenants, limits, deadlines, effects and costs come from the settings in
-force, and from nothing else. Most play the decision module in simulated time: `PlayedRouter` is its host, made from a
-settings object by `Profile`, with workers that answer, refuse, break and fall silent by numbers drawn for each attempt.
-Others send SIGHUP to a router on real connections.
+The tests in test_settings_*.py show that request classes, tenants, limits, deadlines, effects and costs come from the
+settings in force, and from nothing else. Most run the decision module in simulated time: `SimulatedRouter` is its host, made
+from a settings object by `Profile`. Its workers respond, reject, fail or stay silent by random numbers drawn for each
+attempt. Other tests send SIGHUP to a router on real connections.
 """
 
 import asyncio
@@ -69,27 +69,27 @@
         "TokenAimS": [0.06, 0.08, 0.07],
     },
 }
-LASTS = 12 * S  # of a played day
+DURATION = 12 * S  # of a simulated run
 KINDS = ["prefill", "prefill", "prefill", "prefill", "decode", "decode", "decode", "decode", "decode", "mixed"]
 
 
-def changed(*fields, of=SETTINGS):
-    """The settings with some fields set; each as (path, value)."""
-    told = copy.deepcopy(of)
+def with_changes(*fields, of=SETTINGS):
+    """A copy of the settings with some fields set, each given as (path, value)."""
+    settings_object = copy.deepcopy(of)
     for path, value in fields:
-        *above, last = path
-        part = told
-        for word in above:
-            part = part[word]
-        part[last] = value
-    return told
-
-
-def arrivals(seed, many=90, span=5.0):
-    """Requests as (seconds, class, tenant, prompt, session, prefix, patience in seconds, length's hint)."""
-    random, told = Random(seed), []
-    for _ in range(many):
-        told.append(
+        *parents, last = path
+        parent = settings_object
+        for key in parents:
+            parent = parent[key]
+        parent[last] = value
+    return settings_object
+
+
+def request_plan(seed, count=90, span=5.0):
+    """Requests as (arrival in seconds, class, tenant, prompt, session, prefix, deadline in seconds, expected output)."""
+    random, requests = Random(seed), []
+    for _ in range(count):
+        requests.append(
             (
                 random.uniform(0, span),
                 random.choice(("lookup", "lookup", "lodge", "amend")),
@@ -101,20 +101,21 @@
                 random.choice((None, 40, 200)),
             )
         )
-    return sorted(told)
+    return sorted(requests)
 
 
-class PlayedRouter:
-    """One router of these settings in simulated time. `actions` holds all that its module asked for, with the times.
+class SimulatedRouter:
+    """One router with these settings in simulated time. `actions` records all actions of its module, with their times.
 
-    `unit`: ticks of the clock to a tenth of a millisecond, for a clock and a fleet that run so many times slower. Workers
-    act by numbers drawn for the request and the attempt, so that two routers that decide alike see the same.
+    `time_scale`: ticks of the clock per tenth of a millisecond, for a clock and a fleet that run slower by this factor.
+    Workers respond by random numbers seeded by the request and the attempt, so that two routers that make the same decisions
+    see the same responses.
     """
 
-    def __init__(self, told, plan, seed=1, unit=1, make=Router):
-        self.unit, self.seed, self.now, self.calls, self.order = unit, seed, 0, [], count()
-        self.profile = Profile(told)
-        self.actions, self.numbers, self.attempts, self.out, self.ended = [], {}, {}, {}, set()
+    def __init__(self, settings_object, plan, seed=1, time_scale=1, make=Router):
+        self.time_scale, self.seed, self.now, self.timers, self.sequence = time_scale, seed, 0, [], count()
+        self.profile = Profile(settings_object)
+        self.actions, self.request_numbers, self.attempts, self.open_attempts, self.answered = [], {}, {}, {}, set()
         self.router = self.profile.router(make, self, seed, 0)
         names = [f"{kind}-{i}" for i, kind in enumerate(KINDS)]
         self.endpoints = {
@@ -128,7 +129,7 @@
             for i, name in enumerate(names)
         }
         self.names = {endpoint: name for name, endpoint in self.endpoints.items()}
-        self.busy = dict.fromkeys(names, 0)
+        self.busy_until = dict.fromkeys(names, 0)
         self.router.listed(0, list(self.endpoints.values()))
         for number, request in enumerate(plan):
             self.after(self.ticks(request[0]), self.arrive, number, *request[1:])
@@ -137,42 +138,42 @@
         for at, name, state, born in ((2.0, "decode-5", "gone", False), (2.4, "decode-4", "ready", True)):
             self.after(self.ticks(at), self.listed, name, state, born)
 
-    # Time
+    # Simulated time
     def ticks(self, seconds):
-        """Whole tenths of a millisecond first, so that all clocks round alike."""
-        return round(seconds * S) * self.unit
+        """Clock ticks of a time. It is rounded to tenths of a millisecond first, so that all time scales round alike."""
+        return round(seconds * S) * self.time_scale
 
     def after(self, wait, call, *args):
-        heappush(self.calls, (self.now + max(0, wait), next(self.order), call, args))
+        heappush(self.timers, (self.now + max(0, wait), next(self.sequence), call, args))
 
     def next_at(self):
-        return self.calls[0][0] if self.calls else inf
+        return self.timers[0][0] if self.timers else inf
 
     def step(self):
-        self.now, _, call, args = heappop(self.calls)
+        self.now, _, call, args = heappop(self.timers)
         call(*args)
 
-    def run(self, until=LASTS):
-        while self.next_at() <= until * self.unit:
+    def run(self, until=DURATION):
+        while self.next_at() <= until * self.time_scale:
             self.step()
         return self
 
-    # What happens
-    def arrive(self, number, case, tenant, prompt, session, prefix, patience, hint):
+    # Events
+    def arrive(self, number, request_class, tenant, prompt, session, prefix, deadline, expected_output):
         names = self.profile.tenant_names
         view = door.RequestView(
-            self.profile.use_cases[self.profile.class_names.index(case)],
+            self.profile.use_cases[self.profile.class_names.index(request_class)],
             prompt=prompt,
             most_out=300,
-            patience=self.ticks(patience),
+            patience=self.ticks(deadline),
             session=session,
             prefix=prefix,
             prefix_tokens=prompt // 3 if prefix else 0,
-            likely_out=hint,
+            likely_out=expected_output,
             account=names.index(tenant) if tenant in names else len(names),
             benefit_share=self.profile.over_share,
         )
-        self.numbers[view], self.attempts[view] = number, 0
+        self.request_numbers[view], self.attempts[view] = number, 0
         self.router.arrived(self.now, view)
 
     def listed(self, name, state, born):
@@ -182,103 +183,107 @@
             endpoint.born = self.now
         self.router.listed(self.now, [endpoint])
 
-    # What the module asks for
-    def write(self, word, *more):
-        self.actions.append((self.now, word, *more))
+    # Actions of the decision module (door.Host)
+    def record(self, action, *more):
+        self.actions.append((self.now, action, *more))
 
-    def send(self, view, endpoint, time_out, send):
-        name, number, attempt = self.names[endpoint], self.numbers[view], self.attempts[view]
+    def send(self, view, endpoint, time_out, policy_attempt):
+        name, number, attempt = self.names[endpoint], self.request_numbers[view], self.attempts[view]
         self.attempts[view] += 1
-        self.write("send", number, name, time_out)
-        self.out[send] = view
+        self.record("send", number, name, time_out)
+        self.open_attempts[policy_attempt] = view
         rng = Random(f"{self.seed}/{number}/{attempt}")
-        chance, reads = rng.random(), endpoint.role == "read"
-        if reads or not attempt:
-            start = max(self.now, self.busy[name])
-            self.busy[name] = start + self.ticks(view.prompt * 0.15 / 1000)
-            wait = self.busy[name] - self.now
+        chance, is_prefill = rng.random(), endpoint.role == "read"
+        if is_prefill or not attempt:
+            start = max(self.now, self.busy_until[name])
+            self.busy_until[name] = start + self.ticks(view.prompt * 0.15 / 1000)
+            wait = self.busy_until[name] - self.now
         else:
             wait = self.ticks(rng.uniform(0.02, 0.3))
-        outcome = door.READ if reads else door.DONE
-        for part, other in ((0.06, door.NO_ROOM), (0.1, door.CUT), (0.14, door.FAULT), (0.17, door.NO_ROUTE)):
-            if chance < part:
-                outcome, wait = other, self.ticks(rng.uniform(0.005, 0.1))
+        outcome = door.READ if is_prefill else door.DONE
+        for threshold, failure in ((0.06, door.NO_ROOM), (0.1, door.CUT), (0.14, door.FAULT), (0.17, door.NO_ROUTE)):
+            if chance < threshold:
+                outcome, wait = failure, self.ticks(rng.uniform(0.005, 0.1))
                 break
         else:
             if chance < 0.21:
                 wait = self.ticks(99)
         if wait >= time_out:
-            self.after(time_out, self.end, send, door.TOO_SLOW)
+            self.after(time_out, self.end_attempt, policy_attempt, door.TOO_SLOW)
         elif outcome == door.DONE:
-            self.after(wait, self.first, send, self.ticks(rng.uniform(0.3, 2.5)))
+            self.after(wait, self.first_token, policy_attempt, self.ticks(rng.uniform(0.3, 2.5)))
         else:
-            self.after(wait, self.end, send, outcome)
+            self.after(wait, self.end_attempt, policy_attempt, outcome)
 
-    def first(self, send, stream):
-        view = self.out.get(send)
+    def first_token(self, policy_attempt, stream_duration):
+        view = self.open_attempts.get(policy_attempt)
         if view is None:
             return
-        if view in self.ended:
-            self.end(send, door.UNDONE)
+        if view in self.answered:
+            self.end_attempt(policy_attempt, door.UNDONE)
         else:
-            self.router.first_token(self.now, view, send)
-            self.after(stream, self.end, send, door.DONE)
+            self.router.first_token(self.now, view, policy_attempt)
+            self.after(stream_duration, self.end_attempt, policy_attempt, door.DONE)
 
-    def end(self, send, outcome):
-        view = self.out.pop(send, None)
+    def end_attempt(self, policy_attempt, outcome):
+        view = self.open_attempts.pop(policy_attempt, None)
         if view is not None:
             if outcome == door.DONE:
-                self.ended.add(view)
-            kept = view.prompt // 4 if outcome in (door.READ, door.DONE) else 0
-            self.router.outcome(self.now, view, send, outcome, view in self.ended, kept, None)
+                self.answered.add(view)
+            cached_tokens = view.prompt // 4 if outcome in (door.READ, door.DONE) else 0
+            self.router.outcome(self.now, view, policy_attempt, outcome, view in self.answered, cached_tokens, None)
 
-    def withdraw(self, view, send):
-        self.write("withdraw", self.numbers[view])
-        self.after(20 * self.unit, self.end, send, door.UNDONE)
+    def withdraw(self, view, policy_attempt):
+        self.record("withdraw", self.request_numbers[view])
+        self.after(20 * self.time_scale, self.end_attempt, policy_attempt, door.UNDONE)
 
     def probe(self, endpoint):
         name = self.names[endpoint]
-        self.write("probe", name)
-        waiting = max(0, self.busy[name] - self.now) / self.unit
-        rng = Random(f"{self.seed}/{name}/{round(self.now / self.unit / 50)}")
+        self.record("probe", name)
+        waiting = max(0, self.busy_until[name] - self.now) / self.time_scale
+        rng = Random(f"{self.seed}/{name}/{round(self.now / self.time_scale / 50)}")
         if rng.random() < 0.1:
             self.after(self.ticks(0.25), self.probed, endpoint, door.TOO_SLOW, None)
         else:
             self.after(
-                30 * self.unit, self.probed, endpoint, door.DONE, self.profile.report({"x0": 0.3, "x1": waiting / 4e3})
+                30 * self.time_scale,
+                self.probed,
+                endpoint,
+                door.DONE,
+                self.profile.report({"x0": 0.3, "x1": waiting / 4e3}),
             )
 
     def probed(self, endpoint, outcome, report):
         self.router.probed(self.now, endpoint, outcome, report)
 
     def turn_back(self, view, come_back):
-        self.ended.add(view)
-        self.write("turn_back", self.numbers[view], come_back)
+        self.answered.add(view)
+        self.record("turn_back", self.request_numbers[view], come_back)
 
     def scrap(self, view):
-        self.ended.add(view)
-        self.write("scrap", self.numbers[view])
+        self.answered.add(view)
+        self.record("scrap", self.request_numbers[view])
 
     def let_go(self, view):
-        self.write("let_go", self.numbers[view])
+        self.record("let_go", self.request_numbers[view])
 
     def hold_place(self, view, endpoint):
-        self.write("hold_place", self.numbers[view], self.names[endpoint])
+        self.record("hold_place", self.request_numbers[view], self.names[endpoint])
 
     def remind(self, wait, note):
-        self.write("remind", wait)
+        self.record("remind", wait)
         self.after(wait, lambda: self.router.reminded(self.now, note))
 
     def log(self, line):
-        self.write("log", line)
+        self.record("log", line)
 
 
-def played(told, plan, **more):
-    return PlayedRouter(told, plan, **more).run().actions
+def simulate(settings_object, plan, **more):
+    return SimulatedRouter(settings_object, plan, **more).run().actions
 
 
 async def sighup(world, folder, settings=None, **fields):
-    """The configuration is replaced and the process gets the signal, as `run` wires it; returns the line that it logged."""
+    """Replaces the configuration file and sends SIGHUP, with the handler that `run` installs; returns the logged line."""
     path, before = folder / "config.json", len(world.lines.text)
     config = world.config() | ({"settings": settings} if settings is not None else {}) | fields
     path.write_text(json.dumps({key: value for key, value in config.items() if value is not ABSENT}))
@@ -290,38 +295,40 @@
 
 ABSENT = object()
 LOOKUP, LODGE = NODE_SETTINGS["Lanes"]
-ONLY_NEW = changed((("Lanes",), [LOOKUP | {"Name": "inquiry"}, LODGE | {"Name": "deposit"}]), of=NODE_SETTINGS)
+OTHER_CLASSES = with_changes(
+    (("Lanes",), [LOOKUP | {"Name": "inquiry"}, LODGE | {"Name": "deposit"}]), of=NODE_SETTINGS
+)
 
 
-class Held:
-    """A worker's answer: `head` at once, `rest` when it is let go; `reached` says that the request is there."""
+class HeldResponse:
+    """A worker's response: `head` at once, `rest` once `respond` is set; `request_arrived` is set at its call."""
 
     def __init__(self, head=b"", rest=b"", then=None):
         self.head, self.rest, self.then = head, rest, then
-        self.reached, self.go = asyncio.Event(), asyncio.Event()
+        self.request_arrived, self.respond = asyncio.Event(), asyncio.Event()
 
     async def __call__(self, transport):
         if self.head:
             await transport.send(self.head)
-        self.reached.set()
-        await self.go.wait()
+        self.request_arrived.set()
+        await self.respond.wait()
         if self.rest:
             await transport.send(self.rest)
         if self.then:
             self.then(transport)
 
 
-def decode_attempts(world):
+def decode_attempt_count(world):
     return sum(len(writer.of("POST")) for writer in world.writers)
 
 
-async def in_decode(world, name, **headers):
-    """Asks, and returns once the request is at a decode worker, which will break its connection; others answer."""
-    held = Held(then=lambda transport: transport.reset())
+async def start_in_decode(world, name, **headers):
+    """Sends a request and returns once it is at a decode worker, which will reset the connection; other workers respond."""
+    held = HeldResponse(then=lambda transport: transport.reset())
     for writer in world.writers:
         writer.scripts.append(held)
-    asking = asyncio.create_task(world.ask(name, **headers))
-    await world.until(held.reached.is_set)
+    response_task = asyncio.create_task(world.ask(name, **headers))
+    await world.until(held.request_arrived.is_set)
     for writer in world.writers:
         writer.scripts.clear()
-    return asking, held
+    return response_task, held
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""Stories of the adapter over hand-written batches."""
+"""Tests of the bench adapter with hand-written batches."""
 
 import io
 import json
@@ -28,7 +28,7 @@
     f"POWER_ON router_0 7 {json.dumps(PROFILE)}\nMEMBERSHIP router_0 1 disk 2\n"
     "ENTRY SERVING 0 10.0.0.1:5000 1 0 0 -\nENTRY SERVING 0 10.0.0.2:5000 1 0 1 -\n"
 )
-ASK = "WORK_ITEM router_0 q1 256 - abc 0 - 1800 - - 0.9 0\n"
+REQUEST = "WORK_ITEM router_0 q1 256 - abc 0 - 1800 - - 0.9 0\n"
 
 
 def play(*batches):
@@ -38,7 +38,7 @@
     return [reply.splitlines() for reply in out.getvalue().split("NEXT\n")[:-1]]
 
 
-def sends(reply):
+def attempt_workers(reply):
     return [line.split()[-1] for line in reply if line.startswith("ATTEMPT")]
 
 
@@ -47,38 +47,38 @@
 
 
 def test_a_question_goes_to_the_reader_and_then_to_the_writer():
-    replies = play(START, ASK, "FINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 0 0 12.5,0.1,0\n")
-    assert sends(replies[1]) == ["10.0.0.1:5000"] and sends(replies[2]) == ["10.0.0.2:5000"]
+    replies = play(START, REQUEST, "FINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 0 0 12.5,0.1,0\n")
+    assert attempt_workers(replies[1]) == ["10.0.0.1:5000"] and attempt_workers(replies[2]) == ["10.0.0.2:5000"]
 
 
 def test_no_room_with_remark_one_means_that_there_is_no_state():
     replies = play(
         START,
-        ASK,
+        REQUEST,
         "FINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 0 0 -\n",
         "FINISHED router_0 q1 1 10.0.0.2:5000 no_room 0.01 0 1\n",
     )
-    assert sends(replies[3]) == ["10.0.0.1:5000"]
+    assert attempt_workers(replies[3]) == ["10.0.0.1:5000"]
 
 
 def test_events_on_ended_questions_and_unknown_reminders_are_ignored():
     replies = play(
         START,
-        ASK + "GONE router_0 q1\n",
+        REQUEST + "GONE router_0 q1\n",
         "FINISHED router_0 q1 0 10.0.0.1:5000 undone 0.01 1 - -\nGONE router_0 q1\n"
         "REMINDER router_0 999\nFINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 1 - -\n",
     )
-    assert sends(replies[1]) == ["10.0.0.1:5000"] and not sends(replies[2])
+    assert attempt_workers(replies[1]) == ["10.0.0.1:5000"] and not attempt_workers(replies[2])
 
 
 def test_off_and_on_in_one_batch_forgets_everything():
-    replies = play(START, ASK, "POWER_OFF router_0\n" + START + "GONE router_0 q1\n")
+    replies = play(START, REQUEST, "POWER_OFF router_0\n" + START + "GONE router_0 q1\n")
     assert all("q1" not in line for line in replies[2])
 
 
 def test_a_worker_missing_from_a_whole_list_is_gone():
-    replies = play(START, "MEMBERSHIP router_0 2 snapshot 1\nENTRY SERVING 0 10.0.0.2:5000 1 0 1 -\n", ASK)
-    assert not sends(replies[2])
+    replies = play(START, "MEMBERSHIP router_0 2 snapshot 1\nENTRY SERVING 0 10.0.0.2:5000 1 0 1 -\n", REQUEST)
+    assert not attempt_workers(replies[2])
 
 
 @pytest.mark.parametrize(
@@ -101,18 +101,18 @@
 
     monkeypatch.setattr(wire.Router, "arrived", broken)
     monkeypatch.setattr(wire, "raised_in_module", lambda fault: True)
-    replies = play(START, ASK)
+    replies = play(START, REQUEST)
     assert replies[1] == ["CRASH router_0 KeyError: 'oh'"]
 
 
-def told_with(path, value):
-    """PROFILE with one field set, or left out where the value is None."""
+def profile_with(path, value):
+    """PROFILE with one field set; None sets it to null, which counts as absent."""
     profile = json.loads(json.dumps(PROFILE))
-    *above, last = path
-    part = profile
-    for word in above:
-        part = part[word]
-    part[last] = value
+    *parents, last = path
+    parent = profile
+    for key in parents:
+        parent = parent[key]
+    parent[last] = value
     return profile
 
 
@@ -145,15 +145,17 @@
     ],
 )
 def test_settings_without_a_meaning_here_end_the_start_with_one_line_that_names_the_field(path, value):
-    name = "settings" + "".join(f"[{word}]" if isinstance(word, int) else f".{word}" for word in path)
-    with pytest.raises(wire.Malformed) as met:
-        play(START.replace(json.dumps(PROFILE), json.dumps(told_with(path, value))))
-    assert str(met.value).startswith(name) and "\n" not in str(met.value) and len(str(met.value)) < 200
+    name = "settings" + "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in path)
+    with pytest.raises(wire.Malformed) as caught:
+        play(START.replace(json.dumps(PROFILE), json.dumps(profile_with(path, value))))
+    assert str(caught.value).startswith(name) and "\n" not in str(caught.value) and len(str(caught.value)) < 200
 
 
 def test_the_adapter_ends_with_that_line_and_a_status():
-    text = f"BATCH 5\n{START.replace(json.dumps(PROFILE), json.dumps(told_with(('Report', 'How'), 'carrier')))}COMMIT\n"
-    done = subprocess.run(
+    text = (
+        f"BATCH 5\n{START.replace(json.dumps(PROFILE), json.dumps(profile_with(('Report', 'How'), 'carrier')))}COMMIT\n"
+    )
+    completed = subprocess.run(
         [sys.executable, "-m", "ramppulley.drill"],
         input=text,
         capture_output=True,
@@ -161,13 +163,21 @@
         timeout=30,
         cwd=Path(__file__).parent.parent,
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "settings.Report.How: 'carrier'" in done.stderr
+    assert (
+        completed.returncode == 2
+        and completed.stderr.count("\n") == 1
+        and "settings.Report.How: 'carrier'" in completed.stderr
+    )
 
 
 def test_a_reports_figures_are_taken_by_the_meaning_that_the_settings_give_them():
-    told = told_with(("Specifics", "ReportX0"), "thousands of prompt tokens waiting to be read or fetched")
-    told["Specifics"]["ReportX1"] = "share of memory that is held"
-    assert Profile(told).report({"x0": 1.5, "x1": 0.25}) == door.LoadReport(memory_share=0.25, tokens_waiting=1500.0)
+    settings_object = profile_with(
+        ("Specifics", "ReportX0"), "thousands of prompt tokens waiting to be read or fetched"
+    )
+    settings_object["Specifics"]["ReportX1"] = "share of memory that is held"
+    assert Profile(settings_object).report({"x0": 1.5, "x1": 0.25}) == door.LoadReport(
+        memory_share=0.25, tokens_waiting=1500.0
+    )
 
 
 @pytest.mark.parametrize(
@@ -176,9 +186,13 @@
 def test_an_absurd_or_partial_report_harms_nothing(report):
     probed = "".join(f"SAMPLED router_0 pass {worker} 0.1 {report}\n" for worker in ("10.0.0.1:5000", "10.0.0.9:1"))
     replies = play(
-        START, probed, ASK, f"FINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 0 0 {report}\n", ASK.replace("q1", "q2")
+        START,
+        probed,
+        REQUEST,
+        f"FINISHED router_0 q1 0 10.0.0.1:5000 read 0.01 0 0 {report}\n",
+        REQUEST.replace("q1", "q2"),
     )
-    assert sends(replies[3]) == ["10.0.0.2:5000"] and sends(replies[4]) == ["10.0.0.1:5000"]
+    assert attempt_workers(replies[3]) == ["10.0.0.2:5000"] and attempt_workers(replies[4]) == ["10.0.0.1:5000"]
     assert Profile(PROFILE).report({"lat_ms": True, "x0": -0.5, "x1": 10**400}) == door.LoadReport()
 
 
@@ -187,13 +201,13 @@
         START,
         "MEMBERSHIP router_0 2 snapshot 2\nENTRY SERVING 0 10.0.0.1:5000 1 0 0 -\n"
         "ENTRY SERVING 0 10.0.0.2:5000 1 0 2 -\n",
-        ASK,
+        REQUEST,
     )
-    assert "kind 2" in " ".join(replies[1]) and not sends(replies[2])
+    assert "kind 2" in " ".join(replies[1]) and not attempt_workers(replies[2])
 
 
 def test_a_list_told_on_request_is_asked_for_and_again_after_a_failure():
-    start = START.replace(json.dumps(PROFILE), json.dumps(told_with(("Discovery",), "on_request")))
+    start = START.replace(json.dumps(PROFILE), json.dumps(profile_with(("Discovery",), "on_request")))
     replies = play(
         start,
         "MEMBERSHIP router_0 1 error 0\n",
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -1,4 +1,4 @@
-"""What the router on the platform reads: the same as the bench adapter from a request, and an error for what cannot be."""
+"""Tests that the platform's router reads requests as the bench adapter does, and answers malformed input with an error."""
 
 import asyncio
 import io
@@ -16,7 +16,7 @@
 from ramppulley.wire import platform
 from ramppulley.wire.faults import BadMessage
 
-# The module hears the same from both hosts
+# The decision module gets the same events from both hosts
 
 
 @story
@@ -25,7 +25,7 @@
     async with World(make=Heard) as world:
         assert (await world.ask("q-1", req_cost="560000"))[0] == 200
         await world.settled()
-    on_wire = io.StringIO()
+    output = io.StringIO()
     batches = [
         f"POWER_ON router_0 7 {json.dumps(SETTINGS)}\nMEMBERSHIP router_0 1 disk 2\n"
         "ENTRY SERVING 3 s-r0 1 0 0 -\nENTRY SERVING 3 s-w0 1 0 1 -\n",
@@ -36,9 +36,9 @@
         "FINISHED router_0 q1 1 s-w0 pass 0.02 1 64 -\n",
     ]
     text = "".join(f"BATCH {5 + i / 100}\n{batch}COMMIT\n" for i, batch in enumerate(batches))
-    drill.serve(io.StringIO(text), on_wire, Heard)
-    (sockets, made), (adapter, made_too) = Heard.made
-    assert made == made_too
+    drill.serve(io.StringIO(text), output, Heard)
+    (sockets, made), (adapter, adapter_made) = Heard.made
+    assert made == adapter_made
     probes = [t for t in sockets.told if t[0] == "probed"]
     assert probes and set(probes) == {t for t in adapter.told if t[0] == "probed"}
     assert [t for t in sockets.told if t[0] != "probed"] == [t for t in adapter.told if t[0] != "probed"]
@@ -98,7 +98,7 @@
     assert platform.decode(text) == platform.decode(text.decode()) == msgspec.json.decode(text)
 
 
-# What bad input gets
+# Responses to malformed input
 
 
 BAD = {
@@ -127,22 +127,22 @@
 @pytest.mark.parametrize("name", BAD)
 def test_bad_input_gets_its_error_and_a_close_and_nothing_is_passed_on(name):
     @story
-    async def told():
+    async def scenario():
         async with World() as world:
             data, status = BAD[name]
             transport = await world.connect()
-            began = time.monotonic()
+            started_at = time.monotonic()
             sending = asyncio.create_task(transport.send(data))
             assert (await answer(transport))[0] == status
             async with asyncio.timeout(3):
                 assert await transport.receive() == b""
-            assert time.monotonic() - began < 2
+            assert time.monotonic() - started_at < 2
             await asyncio.gather(sending, return_exceptions=True)
             transport.close()
             assert not world.readers[0].of("POST") and not world.node.core.accepted
             assert (await world.ask("q-9"))[0] == 200
 
-    told()
+    scenario()
 
 
 @story
@@ -170,20 +170,20 @@
 @story
 async def test_silent_connections_and_half_requests_end_within_three_seconds():
     async with World() as world:
-        mute, half = await world.connect(), await world.connect()
+        silent_connection, half = await world.connect(), await world.connect()
         await half.send(question("q-1")[:60])
         async with asyncio.timeout(2.9):
-            assert await mute.receive() == b"" and (await answer(half))[0] == 408
-        mute.close()
+            assert await silent_connection.receive() == b"" and (await answer(half))[0] == 408
+        silent_connection.close()
         half.close()
 
 
 @story
 async def test_hundreds_of_silent_connections_leave_room_for_a_client_that_asks():
     async with World(sockets=96) as world:
-        mute = [await world.connect() for _ in range(120)]
+        silent_connections = [await world.connect() for _ in range(120)]
         await asyncio.sleep(0.2)
         assert (await world.ask("q-1"))[0] == 200
         assert len(world.node.front.listener.tasks) <= world.node.front.listener.max_connections + 1
-        for transport in mute:
+        for transport in silent_connections:
             transport.close()
--- a/tests/test_settings_fields.py
+++ b/tests/test_settings_fields.py
@@ -3,30 +3,30 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from settings_rig import BOUNDED, SETTINGS, changed
+from settings_rig import BOUNDED, SETTINGS, with_changes
 
 from ramppulley.profile import Profile
 from ramppulley.settings_fields import SettingError
 
-#: What an optional field means where it is absent, told in its own words.
-MEANS = {
+#: The default of each optional field, given explicitly.
+DEFAULTS = {
     ("DomainType",): "twostage",
     ("Discovery",): "pushed",
     ("Azs",): [],
     ("Tenants",): [],
-    ("OverShareWorth",): 1.0,  # no request is worth less for its tenant's share
+    ("OverShareWorth",): 1.0,  # requests beyond the tenant's share keep their full value
     ("Report", "Fields"): [],
-    ("Bounds", "RetryAfter"): False,  # what is not permitted in words is not permitted
+    ("Bounds", "RetryAfter"): False,  # a capability is off unless the settings grant it
     ("Bounds", "MaxRetryAfterS"): 0,
     ("Bounds", "MayDuplicate"): False,
     ("Bounds", "Probing"): False,
     ("Bounds", "Cancel"): False,
-    ("Bounds", "ConnectTimeoutS"): 0,  # refused on sockets, which cannot do without
+    ("Bounds", "ConnectTimeoutS"): 0,  # rejected by the router on sockets, which requires it
     ("Bounds", "ConnIdleS"): 0,
-    ("Bounds", "MaxOpen"): 0,  # no bound but the router's own descriptors
-    ("Lanes", 0, "Name"): "",  # refused on sockets, where classes go by their names
-    ("Lanes", 0, "KeyScope"): "all",  # of a class that may be repeated anywhere
-    ("Lanes", 2, "WindowS"): 0,  # no repeat is dropped, and so none is sent
+    ("Bounds", "MaxOpen"): 0,  # limited only by the router's own descriptors
+    ("Lanes", 0, "Name"): "",  # rejected by the router on sockets, which looks classes up by name
+    ("Lanes", 0, "KeyScope"): "all",  # of a class that may be retried at any worker
+    ("Lanes", 2, "WindowS"): 0,  # workers drop no repeated request, so no retry is sent
     ("Tenants", 0, "Name"): "",
     ("Specifics", "MayReserve"): False,
     ("Specifics", "MemoryTokens"): [],
@@ -35,7 +35,7 @@
     ("Specifics", "ReportX0"): "share of memory that is held",
     ("Specifics", "ReportX1"): "thousands of prompt tokens waiting to be read or fetched",
 }
-NEEDED = [
+REQUIRED_FIELDS = [
     ("NInstances",),
     ("MyZone",),
     ("Lanes",),
@@ -53,55 +53,57 @@
 
 
 def field_name(path):
-    return "settings" + "".join(f"[{word}]" if isinstance(word, int) else f".{word}" for word in path)
+    return "settings" + "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in path)
 
 
-def value_at(path, told=SETTINGS):
-    for word in path:
-        told = told[word] if isinstance(word, int) else told.get(word)
-    return told
+def value_at(path, value=SETTINGS):
+    for key in path:
+        value = value[key] if isinstance(key, int) else value.get(key)
+    return value
 
 
 def without(path):
-    told = changed((path, None))
-    del value_at(path[:-1], told)[path[-1]]
-    return told
+    settings_object = with_changes((path, None))
+    del value_at(path[:-1], settings_object)[path[-1]]
+    return settings_object
 
 
 def wrong_values(path):
-    """A value of each JSON type that the field does not have, and of its own type one that has no meaning."""
-    right = MEANS.get(path, value_at(path))
+    """A value of each JSON type that the field does not have, and one of its own type that is not supported."""
+    valid = DEFAULTS.get(path, value_at(path))
     wrong = {bool: True, float: -1.5, str: "what?", list: [None], dict: {"a": 1}}
-    wrong.pop(bool) if isinstance(right, bool) else None
+    wrong.pop(bool) if isinstance(valid, bool) else None
     wrong.pop(str) if path[-1] == "Name" else None
     return [*wrong.values(), *([1.5] if path in WHOLE_NUMBERS else [])]
 
 
-@pytest.mark.parametrize("path", MEANS, ids=field_name)
+@pytest.mark.parametrize("path", DEFAULTS, ids=field_name)
 def test_an_optional_field_that_is_absent_or_null_has_the_stated_meaning(path):
-    assert Profile(without(path)) == Profile(changed((path, None))) == Profile(changed((path, MEANS[path])))
+    assert (
+        Profile(without(path)) == Profile(with_changes((path, None))) == Profile(with_changes((path, DEFAULTS[path])))
+    )
 
 
-@pytest.mark.parametrize("path", NEEDED, ids=field_name)
+@pytest.mark.parametrize("path", REQUIRED_FIELDS, ids=field_name)
 def test_a_needed_field_that_is_absent_or_null_is_named(path):
-    for told in (without(path), changed((path, None))):
-        with pytest.raises(SettingError) as met:
-            Profile(told)
-        assert str(met.value) == f"{field_name(path)} is missing"
+    for settings_object in (without(path), with_changes((path, None))):
+        with pytest.raises(SettingError) as caught:
+            Profile(settings_object)
+        assert str(caught.value) == f"{field_name(path)} is missing"
 
 
-@pytest.mark.parametrize("path", [*MEANS, *NEEDED], ids=field_name)
+@pytest.mark.parametrize("path", [*DEFAULTS, *REQUIRED_FIELDS], ids=field_name)
 def test_a_field_of_another_type_is_named_in_one_line(path):
     for value in wrong_values(path):
-        with pytest.raises(SettingError) as met:
-            Profile(changed((path, value)))
-        line = str(met.value)
-        assert line.startswith(field_name(path)) and "\n" not in line and len(line) < 200
+        with pytest.raises(SettingError) as caught:
+            Profile(with_changes((path, value)))
+        message = str(caught.value)
+        assert message.startswith(field_name(path)) and "\n" not in message and len(message) < 200
 
 
 PATHS = [
-    *MEANS,
-    *NEEDED,
+    *DEFAULTS,
+    *REQUIRED_FIELDS,
     ("Kinds",),
     ("Bounds",),
     ("Rules",),
@@ -121,6 +123,6 @@
 @given(st.sampled_from(PATHS), JSON)
 def test_whatever_a_field_holds_the_settings_are_read_or_refused_in_one_line(path, value):
     try:
-        Profile(changed((path, value)))
+        Profile(with_changes((path, value)))
     except SettingError as fault:
         assert str(fault).startswith("settings.") and "\n" not in str(fault)
--- a/tests/test_settings_known_workers.py
+++ b/tests/test_settings_known_workers.py
@@ -1,4 +1,4 @@
-"""Tests of known workers whose kinds, roles and zones the new settings name, order or leave out."""
+"""Tests of known workers whose kinds, roles and zones the new settings add, reorder or leave out."""
 
 import asyncio
 import tempfile
@@ -7,7 +7,7 @@
 from platform_rig import SETTINGS as NODE_SETTINGS
 from platform_rig import Quiet, World
 from rig import story
-from settings_rig import Held, changed, sighup
+from settings_rig import HeldResponse, sighup, with_changes
 
 from ramppulley.daemon.platform.log import Log
 from ramppulley.fleet.platform.endpoint_list import EndpointList
@@ -17,7 +17,7 @@
 
 
 def kinds(names, roles, memory):
-    return changed(
+    return with_changes(
         (("Kinds",), names),
         (("Specifics", "RoleByKind"), roles),
         (("Specifics", "MemoryTokens"), memory),
@@ -29,19 +29,21 @@
 async def test_a_worker_of_a_kind_that_is_no_longer_named_ends_what_it_has_and_gets_no_new_attempt():
     without = kinds(["prefill", "other"], ["read", "write"], [1, 1])
     async with World(token_s=0.02) as world:
-        held = Held(rest=GOOD, then=lambda transport: world.yard.discard("old"))
+        held = HeldResponse(rest=GOOD, then=lambda transport: world.yard.discard("old"))
         world.writers[0].scripts.append(held)
-        asking = asyncio.create_task(world.ask("old"))
-        await world.until(held.reached.is_set)
+        response_task = asyncio.create_task(world.ask("old"))
+        await world.until(held.request_arrived.is_set)
         with tempfile.TemporaryDirectory() as folder:
             await sighup(world, Path(folder), without)
             endpoint = world.node.endpoints.workers.endpoints["s-w0"]
             assert endpoint.state == "draining" and (await world.ask("none"))[0] == 503
-            held.go.set()
-            assert (await asking)[0] == 200
-            await world.until(lambda: len(world.list.asked) == 2)  # entries of new kinds may have been passed over
+            held.respond.set()
+            assert (await response_task)[0] == 200
+            await world.until(
+                lambda: len(world.list.asked) == 2
+            )  # read again: entries of new kinds may have been skipped
             await world.until(lambda: world.list.watches)
-            assert endpoint.state == "draining"  # the whole list names it: it has not ended
+            assert endpoint.state == "draining"  # the whole list still names it, so it is not gone
             await sighup(world, Path(folder), NODE_SETTINGS)
             await world.until(lambda: endpoint.state == "ready")
             assert (await world.ask("again"))[0] == 200
@@ -96,8 +98,8 @@
     endpoints = endpoint_list.workers.endpoints
     a, b = endpoints["a"], endpoints["b"]
     before = (a.role, b.role, b.born, b.cell, b.state)
-    turned = kinds(["decode", "prefill"], ["write", "read"], [11, 22]) | {"Azs": ["east", "south", "north"]}
-    assert {endpoint for endpoint, _ in endpoint_list.configure(Profile(turned))} == {a, b}
+    reordered = kinds(["decode", "prefill"], ["write", "read"], [11, 22]) | {"Azs": ["east", "south", "north"]}
+    assert {endpoint for endpoint, _ in endpoint_list.configure(Profile(reordered))} == {a, b}
     assert (endpoints["a"], endpoints["b"]) == (a, b) and (a.role, b.role, b.born, b.cell, b.state) == before
     assert (a.zone, b.zone, a.memory, b.memory) == (2, 1, 11, 22)
 
@@ -112,5 +114,7 @@
     assert endpoints["c"].zone == 0 and len({endpoints[name].zone for name in "abcd"}) == 4
     endpoint_list.configure(Profile(NODE_SETTINGS | {"Azs": []}))
     assert {endpoints[name].zone for name in "abcd"} == {0}
-    endpoint_list.configure(Profile(changed((("Azs",), []), (("Lanes", 0, "KeyScope"), "zone"), of=NODE_SETTINGS)))
-    assert len({endpoints[name].zone for name in "abcd"}) == 4  # a repeat bound to a zone may not reach another
+    endpoint_list.configure(Profile(with_changes((("Azs",), []), (("Lanes", 0, "KeyScope"), "zone"), of=NODE_SETTINGS)))
+    assert (
+        len({endpoints[name].zone for name in "abcd"}) == 4
+    )  # a retry that is bound to a zone must not reach another zone
--- a/tests/test_settings_module.py
+++ b/tests/test_settings_module.py
@@ -1,4 +1,4 @@
-"""Tests of new settings as the decision module has them, and of a value that nobody told."""
+"""Tests of new settings in the decision module, and of values that neither client nor settings give."""
 
 import pytest
 from fakehost import LAW, FakeHost, S, fleet
@@ -8,7 +8,7 @@
 
 
 def serve(host, view, stream):
-    """Plays a request from its attempt at prefill to the end of its stream, which lasts so long."""
+    """Runs a request from its prefill attempt to the end of its stream, which lasts `stream`."""
     host.ends(view, door.READ)
     host.first(view)
     host.wait(stream)
@@ -27,12 +27,12 @@
     serve(host, view, 2 * S)
     slowness = [worker.figures().slowness for worker in host.router.workers.values() if worker.can_decode]
     assert slowness == [0.0] * 4
-    assert host.told("send", host.ask(session="b"))  # and so the next request is not held back
+    assert host.told("send", host.ask(session="b"))  # so the next request is sent without delay
 
 
 def configure(host, **new):
-    """New settings for the host's module; what is not named means what `FakeHost` begins with."""
-    usual = {
+    """Configures the host's module; settings that are not given are those that `FakeHost` starts with."""
+    defaults = {
         "routers": 2,
         "zone": 0,
         "use_cases": [host.case],
@@ -40,7 +40,7 @@
         "permits": door.Capabilities(),
         "lawbook": door.PolicySettings(**LAW),
     }
-    host.router.configured(host.now, **usual | new)
+    host.router.configured(host.now, **defaults | new)
 
 
 def read(host, view):
@@ -48,12 +48,12 @@
 
 
 def admitted(host, **more):
-    """A request of the host's class in the queue, which has not been sent yet."""
+    """A request of the host's class without any attempt yet."""
     return PolicyRequest(host.router, door.RequestView(host.case, 1000, 300, 60_000, **more), host.router.capabilities)
 
 
 def limit(host, request):
-    """Up to what expected time the module admits this request, at a prefill worker that has no samples yet."""
+    """The admission limit of this request: the maximum expected time, at a prefill worker without samples."""
     return host.router.admission.limit(request, host.router.roster.prefill_workers[-1])
 
 
@@ -62,20 +62,20 @@
     for n in range(12):
         host.ask(session=f"s{n}")
     old = admitted(host, benefit_share=0.1)
-    over = limit(host, old)
+    limit_before = limit(host, old)
     configure(host, accounts=[door.TenantShare(0.1)])
     host.ask()
     new = admitted(host, benefit_share=0.1)
-    assert limit(host, old) == over < limit(host, new)
+    assert limit(host, old) == limit_before < limit(host, new)
     assert len(old.tenant.arrivals) == 12 and len(new.tenant.arrivals) == 1
 
 
 def test_a_request_in_flight_keeps_its_value_and_a_new_one_is_weighed_by_the_new_settings():
     host = FakeHost(fleet())
     old = admitted(host)
-    as_admitted = limit(host, old)
+    limit_at_admission = limit(host, old)
     configure(host, use_cases=[host.case, door.RequestClass(12_000, 400, 60_000, 600, benefit=10.0)])
-    assert limit(host, old) == as_admitted > limit(host, admitted(host))
+    assert limit(host, old) == limit_at_admission > limit(host, admitted(host))
 
 
 def test_a_request_in_flight_keeps_its_number_of_attempts_and_a_new_one_has_the_new_number():
@@ -107,7 +107,7 @@
     old = host.ask()
     worker = host.router.workers[host.last(old)[2]]
     configure(host, use_cases=[other := door.RequestClass(12_000, 400, 60_000, 600)], accounts=[door.TenantShare(9.0)])
-    host.ends(old, door.NO_ROOM)  # comes after the new settings, for a request of the old ones
+    host.ends(old, door.NO_ROOM)  # arrives after the new settings, for a request of the old ones
     new = host.router.requests[host.ask(case=other)]
     assert worker.turns_away(host.router.requests[old]) > 0.9 and worker.turns_away(new) == 0
 
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -1,4 +1,4 @@
-"""Tests that the process itself keeps nothing of requests and settings."""
+"""Tests that no module, class or function of the process keeps state of requests and settings."""
 
 import ast
 import sys
@@ -7,12 +7,12 @@
 
 from platform_rig import World
 from rig import story
-from settings_rig import ONLY_NEW, SETTINGS, arrivals, played, sighup
+from settings_rig import OTHER_CLASSES, SETTINGS, request_plan, sighup, simulate
 
 from ramppulley import rules
-from ramppulley.drill import wire  # noqa: F401 - loaded so that `containers` looks at its tables too
+from ramppulley.drill import wire  # noqa: F401 - imported so that `containers` inspects its tables too
 
-PROGRAM = [
+ROUTER_SOURCES = [
     "rules.py",
     "parts.py",
     "profile.py",
@@ -24,16 +24,16 @@
     "daemon",
     "drill",
 ]
-PROGRAM += ["fleet", "wire"]
+ROUTER_SOURCES += ["fleet", "wire"]
 
 
 CONTAINERS = ast.Dict, ast.List, ast.Set, ast.DictComp, ast.ListComp, ast.SetComp
 
 
 def sources():
-    """(file, its tree) of all that a router runs on."""
+    """(file, syntax tree) of each source file of a router."""
     root = Path(rules.__file__).parent
-    for name in PROGRAM:
+    for name in ROUTER_SOURCES:
         for file in [root / name] if name.endswith(".py") else sorted((root / name).rglob("*.py")):
             yield file.relative_to(root).as_posix(), ast.parse(file.read_text())
 
@@ -53,27 +53,27 @@
 
 
 def containers():
-    """All tables of the program's modules and classes, as text."""
+    """The repr of each container in the program's modules and classes."""
     found = {}
     for module_name, module in list(sys.modules.items()):
         if module_name.startswith("ramppulley.") and "standin" not in module_name:
-            holders = [module, *(value for value in vars(module).values() if isinstance(value, type))]
-            for holder in holders:
-                for name, value in list(vars(holder).items()):
+            owners = [module, *(value for value in vars(module).values() if isinstance(value, type))]
+            for owner in owners:
+                for name, value in list(vars(owner).items()):
                     if isinstance(value, dict | list | set | deque) and not name.startswith("__"):
-                        found[module_name, getattr(holder, "__name__", ""), name] = repr(value)
+                        found[module_name, getattr(owner, "__name__", ""), name] = repr(value)
     return found
 
 
 def test_the_tables_of_the_program_are_the_same_after_requests_and_new_settings(tmp_path):
     @story
-    async def told():
+    async def scenario():
         async with World() as world:
             before = containers()
             assert (await world.ask("a"))[0] == 200 and (await world.ask("b", req_kind="none"))[0] == 400
-            await sighup(world, tmp_path, ONLY_NEW)
+            await sighup(world, tmp_path, OTHER_CLASSES)
             assert (await world.ask("c", req_kind="inquiry"))[0] == 200
-            played(SETTINGS, arrivals(1))
+            simulate(SETTINGS, request_plan(1))
             assert containers() == before and ("ramppulley.rules", "ramppulley.rules", "ON") in before
 
-    told()
+    scenario()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Tests of what new settings bring over real connections, and of configurations that are refused or mean the same."""
+"""Tests of reloading settings over real connections, and of configurations that are rejected or change nothing."""
 
 import asyncio
 import tempfile
@@ -8,7 +8,7 @@
 from platform_rig import SETTINGS as NODE_SETTINGS
 from platform_rig import World
 from rig import story
-from settings_rig import ABSENT, ONLY_NEW, Held, changed, sighup
+from settings_rig import ABSENT, OTHER_CLASSES, HeldResponse, sighup, with_changes
 
 from ramppulley import door
 from ramppulley.rules import Router
@@ -17,14 +17,14 @@
 
 @story
 async def test_new_settings_bring_their_limits_time_outs_and_meaning_of_reports():
-    heard = []
+    reports = []
 
-    class Hearing(Router):
+    class ReportRecorder(Router):
         def probed(self, now, endpoint, outcome, report):
-            heard.append(report)
+            reports.append(report)
             super().probed(now, endpoint, outcome, report)
 
-    new = changed(
+    new = with_changes(
         (("Bounds", "MaxOpen"), 1),
         (("Bounds", "ConnIdleS"), 40.0),
         (("Bounds", "ConnectTimeoutS"), 2.0),
@@ -32,28 +32,28 @@
         (("Specifics", "ReportX1"), "share of memory that is held"),
         of=NODE_SETTINGS,
     )
-    async with World(make=Hearing) as world:
+    async with World(make=ReportRecorder) as world:
         assert (await world.ask("a"))[0] == 200
-        await world.until(lambda: len(heard) >= 2)
-        assert set(heard) == {door.LoadReport(memory_share=0.25, tokens_waiting=1500.0, latency=120)}
+        await world.until(lambda: len(reports) >= 2)
+        assert set(reports) == {door.LoadReport(memory_share=0.25, tokens_waiting=1500.0, latency=120)}
         with tempfile.TemporaryDirectory() as folder:
             await sighup(world, Path(folder), new)
         connections = [worker.connections for worker in world.node.engines.workers.values()]
         assert {connection.idle_timeout_s for connection in connections} == {32.0} and len(connections) == 2
         assert world.node.engines.connect_timeout_s == 2.0
-        heard.clear()
+        reports.clear()
         await world.node.engines._probe(world.node.core, world.node.endpoints.workers.endpoints["s-r0"])
-        assert heard == [door.LoadReport(memory_share=1.5, tokens_waiting=250.0, latency=120)]
-        held = Held()
+        assert reports == [door.LoadReport(memory_share=1.5, tokens_waiting=250.0, latency=120)]
+        held = HeldResponse()
         world.readers[0].scripts.append(held)
-        asking = asyncio.create_task(world.ask("b"))
-        await world.until(held.reached.is_set)
+        response_task = asyncio.create_task(world.ask("b"))
+        await world.until(held.request_arrived.is_set)
         assert (await world.ask("c"))[0] == 503
-        asking.cancel()
+        response_task.cancel()
 
 
-class Counting(Router):
-    """Counts what it was told of settings and of the list."""
+class CountingRouter(Router):
+    """Counts the configurations and the lists that it receives."""
 
     def __init__(self, host, **given):
         self.configurations = self.lists = 0
@@ -75,8 +75,8 @@
 )
 def test_a_configuration_with_settings_of_the_same_meaning_leaves_the_module_alone(fields, tmp_path):
     @story
-    async def told():
-        async with World(make=Counting) as world:
+    async def scenario():
+        async with World(make=CountingRouter) as world:
             await world.until(lambda: world.list.watches)
             router = world.node.core.router
             before = router.configurations, router.lists, len(world.list.asked)
@@ -84,41 +84,43 @@
             assert (await world.ask("q"))[0] == 200
             assert (router.configurations, router.lists, len(world.list.asked)) == before
 
-    told()
+    scenario()
 
 
-BAD = {
-    "settings.Lanes[1].Effect": changed((("Lanes", 1, "Effect"), "twice"), of=ONLY_NEW),
-    "settings.Lanes[1].Name": changed((("Lanes", 1, "Name"), "inquiry"), of=ONLY_NEW),
-    "settings.Lanes[0].Name": changed((("Lanes", 0, "Name"), None), of=ONLY_NEW),
-    "settings.Tenants[1].Name": changed((("Tenants",), [{"Name": "a", "QuotaPerS": 1}] * 2), of=ONLY_NEW),
-    "settings.Kinds": changed((("Kinds",), None), of=ONLY_NEW),
-    "settings.Kinds[1]": changed((("Kinds",), ["prefill", "prefill"]), of=ONLY_NEW),
-    "settings.Azs[1]": changed((("Azs",), ["north", "north"]), of=ONLY_NEW),
-    "settings.Bounds.ConnectTimeoutS": changed((("Bounds", "ConnectTimeoutS"), 0), of=ONLY_NEW),
-    "settings.Rules": changed((("Rules",), None), of=ONLY_NEW),
+INVALID = {
+    "settings.Lanes[1].Effect": with_changes((("Lanes", 1, "Effect"), "twice"), of=OTHER_CLASSES),
+    "settings.Lanes[1].Name": with_changes((("Lanes", 1, "Name"), "inquiry"), of=OTHER_CLASSES),
+    "settings.Lanes[0].Name": with_changes((("Lanes", 0, "Name"), None), of=OTHER_CLASSES),
+    "settings.Tenants[1].Name": with_changes((("Tenants",), [{"Name": "a", "QuotaPerS": 1}] * 2), of=OTHER_CLASSES),
+    "settings.Kinds": with_changes((("Kinds",), None), of=OTHER_CLASSES),
+    "settings.Kinds[1]": with_changes((("Kinds",), ["prefill", "prefill"]), of=OTHER_CLASSES),
+    "settings.Azs[1]": with_changes((("Azs",), ["north", "north"]), of=OTHER_CLASSES),
+    "settings.Bounds.ConnectTimeoutS": with_changes((("Bounds", "ConnectTimeoutS"), 0), of=OTHER_CLASSES),
+    "settings.Rules": with_changes((("Rules",), None), of=OTHER_CLASSES),
     "settings": [],
     "discovery": None,
 }
 
 
-@pytest.mark.parametrize("field", BAD)
+@pytest.mark.parametrize("field", INVALID)
 def test_a_configuration_that_cannot_be_used_names_the_field_and_changes_nothing(field, tmp_path):
     @story
-    async def told():
-        async with World(make=Counting) as world:
+    async def scenario():
+        async with World(make=CountingRouter) as world:
             other = PlatformList()
             other.hosts = dict(world.list.hosts)
             other.start()
-            place = ABSENT if field == "discovery" else f"127.0.0.1:{other.listener.port}"
-            line = await sighup(world, tmp_path, ONLY_NEW if BAD[field] is None else BAD[field], discovery=place)
+            address = ABSENT if field == "discovery" else f"127.0.0.1:{other.listener.port}"
+            line = await sighup(
+                world, tmp_path, OTHER_CLASSES if INVALID[field] is None else INVALID[field], discovery=address
+            )
             assert "not usable, the old one stays" in line and f"fault={field}" in line
             assert (await world.ask("q"))[0] == 200 and (await world.ask("r", req_kind="inquiry"))[0] == 400
             assert world.node.core.router.configurations == 1
             assert world.node.watch.address[1] == world.list.listener.port and not other.asked
             await other.stop()
 
-    told()
+    scenario()
 
 
 @story
@@ -128,7 +130,7 @@
         other.hosts, other.seq = dict(world.list.hosts), 5
         other.start()
         with tempfile.TemporaryDirectory() as folder:
-            await sighup(world, Path(folder), ONLY_NEW, discovery=f"127.0.0.1:{other.listener.port}")
+            await sighup(world, Path(folder), OTHER_CLASSES, discovery=f"127.0.0.1:{other.listener.port}")
         await world.until(lambda: other.watches)
         assert (await world.ask("q", req_kind="inquiry"))[0] == 200 and len(other.asked) == 1
         await other.stop()
--- a/tests/test_settings_scales.py
+++ b/tests/test_settings_scales.py
@@ -1,4 +1,4 @@
-"""Tests that names, order and scale of the settings' classes, tenants and times decide nothing."""
+"""Tests that names and order of classes and tenants, and the scale of all times, do not affect decisions."""
 
 import ast
 import copy
@@ -7,34 +7,34 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from settings_rig import BOUNDED, SETTINGS, arrivals, changed, played
+from settings_rig import BOUNDED, SETTINGS, request_plan, simulate, with_changes
 
 from ramppulley import rules
 
 
-def reordered(told, classes, tenants, new_name):
-    """The same settings with classes and tenants in another order and under other names."""
-    told = copy.deepcopy(told)
+def reordered(settings_object, classes, tenants, new_name):
+    """The same settings with classes and tenants reordered and renamed."""
+    settings_object = copy.deepcopy(settings_object)
     for field in ("AimUsPer1000PromptTokens", "TokenAimS"):
-        told["Specifics"][field] = [told["Specifics"][field][i] for i in classes]
-    told["Lanes"] = [told["Lanes"][i] for i in classes]
-    told["Tenants"] = [told["Tenants"][i] for i in tenants]
-    for entry in told["Lanes"] + told["Tenants"]:
+        settings_object["Specifics"][field] = [settings_object["Specifics"][field][i] for i in classes]
+    settings_object["Lanes"] = [settings_object["Lanes"][i] for i in classes]
+    settings_object["Tenants"] = [settings_object["Tenants"][i] for i in tenants]
+    for entry in settings_object["Lanes"] + settings_object["Tenants"]:
         entry["Name"] = new_name[entry["Name"]]
-    return told
+    return settings_object
 
 
 @BOUNDED
 @given(st.integers(0, 10**6), st.permutations(range(3)), st.permutations(range(3)), st.permutations("abcdef"))
 def test_classes_and_tenants_renamed_and_reordered_get_the_same_actions(seed, classes, tenants, letters):
-    plan = arrivals(seed)
+    plan = request_plan(seed)
     new_name = dict(zip(("lookup", "lodge", "amend", "quay", "mill", "lock"), letters)) | {"": ""}
     renamed = [(at, new_name[case], new_name[tenant], *more) for at, case, tenant, *more in plan]
-    assert played(SETTINGS, plan) == played(reordered(SETTINGS, classes, tenants, new_name), renamed)
+    assert simulate(SETTINGS, plan) == simulate(reordered(SETTINGS, classes, tenants, new_name), renamed)
 
 
-#: Figures of the decision module that are times of their own. All other times come from the settings or are parts of them.
-ABSOLUTE = {
+#: Constants of the decision module that are times. All its other times come from the settings or are fractions of them.
+TIMES = {
     "MS",
     "FRESH",
     "TICK",
@@ -48,16 +48,17 @@
     "SILENT_LEAST",
     "HEARD_AHEAD",
 }
-#: Counts, shares and weights: no time is in them.
-PLAIN = set(
+#: Constants that are counts, shares and weights, not times.
+NOT_TIMES = set(
     """SHORT_LIST DRAWN SAMPLES READ_FLOOR SPEAKS_FOR LOOKS LOOK_PART MISSED_WEIGHT TRIAL_BONUS FAR_CELL FAR_AFTER
     FAR_ZONE OTHER_ZONE MEMORY_WEIGHT SLOW_WEIGHT UNREAD_WEIGHT HELD_TOKENS REFUSED_WEIGHT NEAR_REACH FAVOURED HOME
     SELF_READ DOUBT_SHARE SILENT_TIMES COLD_SHARE COLD_RAMP HEAVIEST FULL OVER_SHARE LINE_PART ADMIT ADMIT_MORE
     HEARD_LOAD HEARD_ILL LONG LONG_ROOM CROWD LATE_PACE ON""".split()  # noqa: SIM905 - a list of words reads better so
 )
-#: Functions that use the unit itself: in what time a queue is looked at again, a tenant's requests a second, a log line.
-USE_UNIT = {"on_serve": 1, "on_configured": 1, "on_tick": 2}
-IN_SECONDS = {"AimS", "GiveUpS", "WindowS", "ConnIdleS", "ConnectTimeoutS", "MaxRetryAfterS", "ResolutionS"} | {
+#: Functions that use the time unit itself, with the count of uses: the interval between checks of a queue, a tenant's
+#: requests per second, a log line.
+UNIT_USES = {"on_serve": 1, "on_configured": 1, "on_tick": 2}
+TIME_FIELDS = {"AimS", "GiveUpS", "WindowS", "ConnIdleS", "ConnectTimeoutS", "MaxRetryAfterS", "ResolutionS"} | {
     "ColdS",
     "DrainGraceS",
     "FallS",
@@ -65,57 +66,57 @@
 }
 
 
-def slower(told, times, field=""):
-    """The settings with all their times so many times as long; a quota counts requests a second of the module's own."""
-    if isinstance(told, dict):
-        return {key: slower(value, times, key) for key, value in told.items()}
+def scaled(settings_object, factor, field=""):
+    """The settings with all times multiplied. Quotas stay, as they count requests per second of the module's clock."""
+    if isinstance(settings_object, dict):
+        return {key: scaled(value, factor, key) for key, value in settings_object.items()}
     if field in ("TokenAimS", "AimUsPer1000PromptTokens"):
-        return [value * times for value in told]
-    if isinstance(told, list):
-        return [slower(value, times) for value in told]
-    return told * times if field in IN_SECONDS else told
+        return [value * factor for value in settings_object]
+    if isinstance(settings_object, list):
+        return [scaled(value, factor) for value in settings_object]
+    return settings_object * factor if field in TIME_FIELDS else settings_object
 
 
 @pytest.fixture
-def module_slower(monkeypatch):
-    """Makes the module's own times so many times as long; call it with 1 to have them as they are."""
-    own = {name: getattr(rules, name) for name in ABSOLUTE}
+def scale_module(monkeypatch):
+    """Returns a function that multiplies the module's own times; a factor of 1 restores them."""
+    own = {name: getattr(rules, name) for name in TIMES}
 
-    def make(times):
+    def make(factor):
         for name, value in own.items():
-            monkeypatch.setattr(rules, name, value * times)
+            monkeypatch.setattr(rules, name, value * factor)
 
     return make
 
 
 def choices(actions):
-    """Who was sent where, cancelled, refused or given up, in this order."""
-    words = {"send": 2, "withdraw": 1, "turn_back": 1, "scrap": 1}
-    return [(word, *more[: words[word]]) for _, word, *more in actions if word in words]
+    """The attempts, cancels, rejections and failed requests, in this order, without times."""
+    argument_counts = {"send": 2, "withdraw": 1, "turn_back": 1, "scrap": 1}
+    return [(action, *more[: argument_counts[action]]) for _, action, *more in actions if action in argument_counts]
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_all_times_scaled_alike_give_the_same_choices(seed, module_slower):
+def test_all_times_scaled_alike_give_the_same_choices(seed, scale_module):
     made = []
-    for times in (1, 2, 4):
-        module_slower(times)
-        made.append(choices(played(slower(SETTINGS, times), arrivals(seed), unit=times)))
+    for factor in (1, 2, 4):
+        scale_module(factor)
+        made.append(choices(simulate(scaled(SETTINGS, factor), request_plan(seed), time_scale=factor)))
     assert made[0] and made[0] == made[1] == made[2]
 
 
-def test_a_time_of_the_settings_that_is_not_scaled_changes_the_choices(module_slower):
-    module_slower(2)
-    told, plan = slower(SETTINGS, 2), arrivals(0)
-    as_scaled = choices(played(told, plan, unit=2))
+def test_a_time_of_the_settings_that_is_not_scaled_changes_the_choices(scale_module):
+    scale_module(2)
+    settings_object, plan = scaled(SETTINGS, 2), request_plan(0)
+    as_scaled = choices(simulate(settings_object, plan, time_scale=2))
     for path in (("Lanes", 0, "AimS"), ("Specifics", "TokenAimS"), ("Rules", "ColdS")):
         value = SETTINGS
-        for word in path:
-            value = value[word]
-        assert choices(played(changed((path, value), of=told), plan, unit=2)) != as_scaled, path
+        for key in path:
+            value = value[key]
+        assert choices(simulate(with_changes((path, value), of=settings_object), plan, time_scale=2)) != as_scaled, path
 
 
 def test_the_modules_own_times_are_these():
-    """Whoever adds a constant says here whether it is a time, and if so why in docs/design-platform.md."""
+    """A new constant must be added here as a time or not; the reason for a time is given in docs/design-platform.md."""
     tree = ast.parse(Path(rules.__file__).read_text())
     constants, uses = set(), {}
     for node in tree.body:
@@ -125,4 +126,4 @@
         if isinstance(function, ast.FunctionDef):
             count = sum(isinstance(node, ast.Name) and node.id == "MS" for node in ast.walk(function))
             uses |= {function.name: count} if count else {}
-    assert constants == ABSOLUTE | PLAIN and uses == USE_UNIT
+    assert constants == TIMES | NOT_TIMES and uses == UNIT_USES
--- a/tests/test_settings_two_routers.py
+++ b/tests/test_settings_two_routers.py
@@ -1,4 +1,4 @@
-"""Tests that routers and bench adapter instances of different settings in one process know nothing of each other."""
+"""Tests that routers and bench adapter instances with different settings in one process do not affect each other."""
 
 import io
 import json
@@ -8,22 +8,22 @@
 from platform_rig import World
 from rig import story
 from settings_rig import (
-    LASTS,
+    DURATION,
     LODGE,
     LOOKUP,
     SETTINGS,
-    PlayedRouter,
-    arrivals,
-    changed,
-    decode_attempts,
-    in_decode,
-    played,
+    SimulatedRouter,
+    decode_attempt_count,
+    request_plan,
+    simulate,
+    start_in_decode,
+    with_changes,
 )
 
 from ramppulley import parts
 from ramppulley.drill import wire as drill
 
-OTHER = changed(
+OTHER = with_changes(
     (("Lanes",), [{"Name": "lookup", "AimS": 0.4, "Credit": 9.0, "Effect": "single_shot", "GiveUpS": 2.0}] * 3),
     (("Tenants",), [{"Name": "mill", "QuotaPerS": 0.1}]),
     (("Bounds", "SendCap"), 1),
@@ -34,15 +34,15 @@
 
 
 def test_two_routers_of_different_settings_in_one_process_act_as_each_does_alone():
-    plan = [(at, "lookup", *more) for at, _, *more in arrivals(5)]
+    plan = [(at, "lookup", *more) for at, _, *more in request_plan(5)]
     alone = []
-    for told in (SETTINGS, OTHER):
+    for settings_object in (SETTINGS, OTHER):
         parts.rendezvous_orders_of.cache_clear()
-        alone.append(played(told, plan, seed=5))
+        alone.append(simulate(settings_object, plan, seed=5))
     parts.rendezvous_orders_of.cache_clear()
-    pair = [PlayedRouter(told, plan, seed=5) for told in (SETTINGS, OTHER)]
-    while min(router.next_at() for router in pair) <= LASTS:
-        min(pair, key=PlayedRouter.next_at).step()
+    pair = [SimulatedRouter(settings_object, plan, seed=5) for settings_object in (SETTINGS, OTHER)]
+    while min(router.next_at() for router in pair) <= DURATION:
+        min(pair, key=SimulatedRouter.next_at).step()
     assert [router.actions for router in pair] == alone and alone[0] != alone[1]
 
 
@@ -65,38 +65,42 @@
 
 @story
 async def test_two_routers_of_different_classes_in_one_process_do_not_hear_of_each_others():
-    other_settings = changed((("Lanes",), [LODGE | {"Name": "lookup"}, LOOKUP | {"Name": "deposit"}]), of=NODE_SETTINGS)
+    other_settings = with_changes(
+        (("Lanes",), [LODGE | {"Name": "lookup"}, LOOKUP | {"Name": "deposit"}]), of=NODE_SETTINGS
+    )
     async with World(writers=2) as one, World(writers=2, settings=other_settings) as two:
         assert (await one.ask("a", req_kind="lodge"))[0] == 200 and (await two.ask("a", req_kind="lodge"))[0] == 400
         assert (await one.ask("b", req_kind="deposit"))[0] == 400 and (await two.ask("b", req_kind="deposit"))[0] == 200
         attempts = []
         for world in (one, two):
-            before = decode_attempts(world)
-            asking, held = await in_decode(world, "c")
-            held.go.set()
-            attempts.append(((await asking)[0], decode_attempts(world) - before))
-        assert attempts == [(200, 2), (504, 1)]  # the same name is safe for one and unsafe for the other
+            before = decode_attempt_count(world)
+            response_task, held = await start_in_decode(world, "c")
+            held.respond.set()
+            attempts.append(((await response_task)[0], decode_attempt_count(world) - before))
+        assert attempts == [(200, 2), (504, 1)]  # the class of this name is safe in one world and unsafe in the other
 
 
 @story
 async def test_a_request_that_names_no_tenant_counts_against_nobodys_share():
-    told = changed((("Tenants",), [{"Name": "quay", "QuotaPerS": 5.0}]), of=NODE_SETTINGS)
-    async with World(settings=told) as world:
+    settings_object = with_changes((("Tenants",), [{"Name": "quay", "QuotaPerS": 5.0}]), of=NODE_SETTINGS)
+    async with World(settings=settings_object) as world:
         for name, owner in (("a", None), ("b", "unknown"), ("c", "quay")):
             assert (await world.ask(name, req_owner=owner))[0] == 200
         assert [len(tenant.arrivals) for tenant in world.node.core.router.admission.tenants] == [1]
 
 
-def batches_of(name, told):
-    """A start, the list, a request of each class, and all that was to be reminded of, as text lines for one instance."""
-    lanes = len(told["Lanes"])
+def batches_of(name, settings_object):
+    """Four batches for one instance: its start with a list of workers, a request of each class, all reminders, none."""
+    class_count = len(settings_object["Lanes"])
     start = (
-        f"POWER_ON {name} 7 {json.dumps(told)}\nMEMBERSHIP {name} 1 disk 2\n"
+        f"POWER_ON {name} 7 {json.dumps(settings_object)}\nMEMBERSHIP {name} 1 disk 2\n"
         "ENTRY SERVING 0 10.0.0.1:5000 1 0 0 -\nENTRY SERVING 0 10.0.0.2:5000 1 0 1 -\n"
     )
-    ask = "".join(f"WORK_ITEM {name} q{lane} 256 - abc {lane} - 800 {lane} - 0.9 0\n" for lane in range(lanes))
-    reminded = "".join(f"REMINDER {name} {number}\n" for number in range(1, 20))
-    return [start, ask, reminded, ""]
+    requests = "".join(
+        f"WORK_ITEM {name} q{index} 256 - abc {index} - 800 {index} - 0.9 0\n" for index in range(class_count)
+    )
+    reminders = "".join(f"REMINDER {name} {number}\n" for number in range(1, 20))
+    return [start, requests, reminders, ""]
 
 
 def adapter(batches):
--- a/tests/test_system_call_failures.py
+++ b/tests/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents it: nobody but the call's own connection is harmed."""
+"""Tests of transient system call failures, with errors that Linux documents: only the call's own connection is affected."""
 
 import asyncio
 import errno
@@ -18,21 +18,21 @@
 from ramppulley.wire import sockets
 
 
-def failing(original, number, times=1):
-    """`original`, the first `times` calls of which raise this error."""
-    left = [times]
+def failing(original, error_number, times=1):
+    """`original`, whose first `times` calls raise OSError with this error number."""
+    remaining = [times]
 
     def call(*args, **more):
-        if left[0]:
-            left[0] -= 1
-            raise OSError(number, "planted")
+        if remaining[0]:
+            remaining[0] -= 1
+            raise OSError(error_number, "injected")
         return original(*args, **more)
 
     return call
 
 
-def failing_async(original, number, times):
-    call = failing(lambda *args: None, number, times)
+def failing_async(original, error_number, times):
+    call = failing(lambda *args: None, error_number, times)
 
     async def fails(*args, **more):
         call()
@@ -44,13 +44,13 @@
 @story
 async def test_an_error_while_an_accepted_socket_is_set_up_ends_no_other_clients_service():
     async with World() as world:
-        for number in (errno.ENOBUFS, errno.ENOMEM, errno.EINVAL):
+        for error_number in (errno.ENOBUFS, errno.ENOMEM, errno.EINVAL):
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(sockets, "Transport", failing(sockets.Transport, number))
-                with socket.create_connection(("127.0.0.1", world.port)):  # accepted with the planted error
+                patch.setattr(sockets, "Transport", failing(sockets.Transport, error_number))
+                with socket.create_connection(("127.0.0.1", world.port)):  # accepted with the injected error
                     await asyncio.sleep(0.05)
             async with asyncio.timeout(2.0):
-                assert (await world.ask(f"q-{number}"))[2:] == (WHOLE, True)
+                assert (await world.ask(f"q-{error_number}"))[2:] == (WHOLE, True)
 
 
 @story
@@ -63,10 +63,10 @@
 
 
 def test_a_start_whose_socket_fails_for_a_moment_is_tried_again(tmp_path):
-    """Term 9: a refused start is a failure, whatever the system was short of just then."""
+    """Term 9: a start that ends with an error counts as a failure, even when the system lacked resources for a moment."""
     started = []
 
-    async def told():
+    async def scenario():
         async with World() as world:
             path = tmp_path / "config.json"
             path.write_text(json.dumps(world.config()))
@@ -79,14 +79,14 @@
             os.kill(os.getpid(), signal.SIGTERM)
             await running
 
-    uvloop.run(told())
+    uvloop.run(scenario())
     assert started == [2]
 
 
 def test_a_start_that_is_told_to_end_while_its_address_is_in_use_ends_in_order(tmp_path):
-    """A router that ends after SIGTERM has not failed, however far its start had come."""
+    """A router that ends after SIGTERM has not failed, even if its start was not complete."""
 
-    async def told():
+    async def scenario():
         async with World() as world:
             with socket.create_server(("127.0.0.1", 0)) as occupied:
                 content = world.config() | {"listen": f"127.0.0.1:{occupied.getsockname()[1]}"}
@@ -97,4 +97,4 @@
                 os.kill(os.getpid(), signal.SIGTERM)
                 await running
 
-    uvloop.run(told())
+    uvloop.run(scenario())
