--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -199,10 +199,8 @@
     0xFFFFFFFFFFFFFFFF,
     128,
 )
-DRAWN_KEYS, MAX_CACHED_LISTS = (
-    1024,
-    16,
-)  # cache bounds: keys per list of workers; lists (routers may see different lists at a time)
+# Cache bounds: keys per list of workers; lists (routers may see different lists at a time).
+DRAWN_KEYS, MAX_CACHED_LISTS = 1024, 16
 
 
 class RendezvousOrders:
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -238,12 +238,10 @@
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile
-        self.endpoints: dict[
-            str, door.Endpoint
-        ] = {}  # by id; without endpoints that another worker of the same id replaced
-        self.ids: weakref.WeakKeyDictionary[door.Endpoint, str] = (
-            weakref.WeakKeyDictionary()
-        )  # also of endpoints that were replaced or forgotten
+        # By id, without endpoints that another worker of the same id replaced.
+        self.endpoints: dict[str, door.Endpoint] = {}
+        # Includes endpoints that were replaced or forgotten.
+        self.ids: weakref.WeakKeyDictionary[door.Endpoint, str] = weakref.WeakKeyDictionary()
 
     def update(self, entries: Iterable[WorkerEntry], whole: bool, unread: Iterable[str] = ()) -> list[door.Endpoint]:
         """Applies the entries to the endpoints; returns the endpoints that were named or are gone now.
@@ -268,9 +266,8 @@
             and entry.state != "gone"
             and not self._matches_kind(endpoint, entry.kind)
         ):
-            endpoint.state = (
-                "gone"  # its samples and estimates hold only for its old role and memory; it becomes a new worker
-            )
+            # Its samples and estimates hold only for its old role and memory, so it continues as a new worker.
+            endpoint.state = "gone"
             changed.append(endpoint)
             endpoint = None
         if endpoint is None:
--- a/ramppulley/wire/http.py
+++ b/ramppulley/wire/http.py
@@ -116,9 +116,8 @@
             raise BadMessage("protocol upgrades are not supported") from fault
         except httptools.HttpParserError as fault:
             raise (self._fault or BadMessage(str(fault).strip("'\""))) from fault
-        if (
-            self._head.in_head and self._fed_bytes > 2 * MAX_HEAD_BYTES
-        ):  # llhttp reports a field only when it is complete
+        # llhttp reports a header field only when it is complete, so an endless one is found by the bytes fed.
+        if self._head.in_head and self._fed_bytes > 2 * MAX_HEAD_BYTES:
             raise TooLarge(f"the header section exceeds {MAX_HEAD_BYTES} bytes", 431)
 
     def on_message_begin(self) -> None:
--- a/tests/test_settings_known_workers.py
+++ b/tests/test_settings_known_workers.py
@@ -39,9 +39,7 @@
             assert endpoint.state == "draining" and (await world.ask("none"))[0] == 503
             held.respond.set()
             assert (await response_task)[0] == 200
-            await world.until(
-                lambda: len(world.list.asked) == 2
-            )  # read again: entries of new kinds may have been skipped
+            await world.until(lambda: len(world.list.asked) == 2)  # entries of new kinds may have been skipped
             await world.until(lambda: world.list.watches)
             assert endpoint.state == "draining"  # the whole list still names it, so it is not gone
             await sighup(world, Path(folder), NODE_SETTINGS)
@@ -115,6 +113,5 @@
     endpoint_list.configure(Profile(NODE_SETTINGS | {"Azs": []}))
     assert {endpoints[name].zone for name in "abcd"} == {0}
     endpoint_list.configure(Profile(with_changes((("Azs",), []), (("Lanes", 0, "KeyScope"), "zone"), of=NODE_SETTINGS)))
-    assert (
-        len({endpoints[name].zone for name in "abcd"}) == 4
-    )  # a retry that is bound to a zone must not reach another zone
+    # A retry that is bound to a zone must not reach another zone.
+    assert len({endpoints[name].zone for name in "abcd"}) == 4
