--- a/ramppulley/__init__.py
+++ b/ramppulley/__init__.py
@@ -1,1 +1,1 @@
-"""ramppulley: a router for language-model servers that read and write on separate engines."""
+"""ramppulley: a router for language-model servers that prefill and decode on separate engines."""
--- a/ramppulley/__main__.py
+++ b/ramppulley/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m ramppulley`: the command line. `platform` runs without what the other commands need: its memory is bounded."""
+"""Entry point of `python -m ramppulley`.
+
+`platform` skips the imports of the other commands, since its memory is bounded.
+"""
 
 import gc
 import signal
@@ -6,8 +9,10 @@
 
 if __name__ == "__main__":
     if sys.argv[1:] == ["platform"]:
-        gc.disable()  # a collection during the start finds next to nothing; `run` lets it go on
-        signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # it waits until the router can heed it
+        gc.disable()  # little garbage arises during startup; `run` enables collection again
+        signal.pthread_sigmask(
+            signal.SIG_BLOCK, {signal.SIGHUP}
+        )  # stays pending until the router's handler is installed
         from ramppulley.daemon.platform.command import main
 
         sys.exit(main())
--- a/ramppulley/daemon/__init__.py
+++ b/ramppulley/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The program: reads its orders, wires the parts together, starts and stops them."""
+"""The router program: reads its settings, wires the components together, starts and stops them."""
--- a/ramppulley/daemon/asking.py
+++ b/ramppulley/daemon/asking.py
@@ -1,4 +1,4 @@
-"""Asks a running router for its view of the cluster, by the key in its settings."""
+"""Queries a running router for its view of the cluster, authenticated by the cluster key."""
 
 import socket
 import time
@@ -9,60 +9,60 @@
 from ramppulley.cluster import showing
 from ramppulley.cluster.seal import MOST, Seal, Unfit
 
-TRIES, EACH, ROWS_MOST = 4, 0.5, 100_000
+MAX_TRIES, TRY_TIMEOUT_S, MAX_ROWS = 4, 0.5, 100_000
 
 
-class Silent(OSError):
-    """No answer: no router there, or one with another key or cluster."""
+class NoAnswerError(OSError):
+    """No answer: no router listens there, or it has another key or cluster."""
 
 
 def view(cluster, key, address):
-    """All rows of a router's view (`daemon.cluster.Cluster.rows`); raises Silent or OSError."""
-    chance = SystemRandom()
-    seal, rows = Seal(cluster, key, f"~{chance.getrandbits(32):x}", chance), []
+    """All rows of a router's view (`daemon.cluster.Cluster.rows`); raises NoAnswerError or OSError."""
+    rng = SystemRandom()
+    seal, rows = Seal(cluster, key, f"~{rng.getrandbits(32):x}", rng), []
     with socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.connect(address)
         while True:
             page = _page(sock, seal, len(rows))
             rows += page.rows
-            if len(rows) >= page.total or not page.rows or len(rows) > ROWS_MOST:
+            if len(rows) >= page.total or not page.rows or len(rows) > MAX_ROWS:
                 return rows
 
 
 def switch(cluster, key, rows, on):
-    """Tells all routers of a view (`view`) that signals and turns count, or not: the names of those that heard it."""
-    chance, heard = SystemRandom(), set()
-    seal = Seal(cluster, key, f"~{chance.getrandbits(32):x}", chance)
-    there = {(host, port): name for name, state, *_, host, port, _ in rows if state in ("self", "alive", "suspect")}
-    for (host, port), name in there.items():
+    """Switches signals and leases on or off at all routers of a `view`; returns (names that confirmed, all names)."""
+    rng, reached = SystemRandom(), set()
+    seal = Seal(cluster, key, f"~{rng.getrandbits(32):x}", rng)
+    routers = {(host, port): name for name, state, *_, host, port, _ in rows if state in ("self", "alive", "suspect")}
+    for (host, port), name in routers.items():
         with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.connect((host, port))
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 try:
                     sock.send(seal.seal("switch", b"on" if on else b"off"))
-                    sock.settimeout(EACH)
+                    sock.settimeout(TRY_TIMEOUT_S)
                     if seal.open(sock.recv(MOST + 1))[0].kind == "switch":
-                        heard.add(name)
+                        reached.add(name)
                         break
                 except (Unfit, OSError):
                     continue
-    return heard, set(there.values())
+    return reached, set(routers.values())
 
 
 def _page(sock, seal, first):
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         sock.send(seal.seal("show", showing.ask(first)))
-        until = time.monotonic() + EACH
-        while (left := until - time.monotonic()) > 0:
-            sock.settimeout(left)
+        deadline = time.monotonic() + TRY_TIMEOUT_S
+        while (remaining_s := deadline - time.monotonic()) > 0:
+            sock.settimeout(remaining_s)
             try:
                 _, payload = seal.open(sock.recv(MOST + 1))
                 page = showing.page(payload)
             except (Unfit, msgspec.MsgspecError, TimeoutError):
                 continue
             except ConnectionRefusedError:
-                time.sleep(left)  # it may be about to start
+                time.sleep(remaining_s)  # the router may be starting
                 continue
             if page.first == first:
                 return page
-    raise Silent("no answer: is a router with this key there?")
+    raise NoAnswerError("no answer: is a router with this key running at that address?")
--- a/ramppulley/daemon/cluster/__init__.py
+++ b/ramppulley/daemon/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""Joins the machines of `ramppulley.cluster` to one router: sockets, snapshot, subset, signals, turns, status."""
+"""Connects the state machines of `ramppulley.cluster` to a router: sockets, snapshot, subset, signals, leases, status."""
 
 from ramppulley.daemon.cluster.cluster import Cluster
 
--- a/ramppulley/daemon/cluster/cluster.py
+++ b/ramppulley/daemon/cluster/cluster.py
@@ -1,4 +1,4 @@
-"""One router among others: makes the machines of the cluster, starts and stops them."""
+"""A router as a member of a cluster: creates, starts and stops the cluster state machines."""
 
 import asyncio
 from random import SystemRandom
@@ -16,31 +16,31 @@
 from ramppulley.daemon.cluster.sharing_switch import SharingSwitch
 from ramppulley.daemon.cluster.signal_exchange import SignalExchange
 from ramppulley.daemon.cluster.subset_selection import SubsetSelection
-from ramppulley.daemon.cluster.turn_taking import TurnTaking
+from ramppulley.daemon.cluster.turn_taking import LeaseHolder
 from ramppulley.peers.datagrams import Datagrams, bound
 from ramppulley.service.clock import TENTHS
 from ramppulley.store.disk import Disk
 
-SILENCE_MAX = 3 * TENTHS  # after a start, till others said what they remember of us
-SHARING_INTERVAL_S = 0.2  # the modules are told what others told so often, also while no request comes
+SILENCE_MAX = 3 * TENTHS  # after a start, until peers have sent what they remember of this router
+SHARING_INTERVAL_S = 0.2  # how often policies get peer reports, also while no request arrives
 
 
 class Cluster:
-    """One router among others. `tell(boxes)` is called with those whose place in the subset changed.
+    """A router as a member of a cluster. `notify(changed)` is called with [(pool, endpoint)] whose subset place changed.
 
-    Raises BadFile, with the field's name, before anything listens. `disk`, `socket` and `rng` are the machine's; the rig
-    has its own.
+    Raises BadFile, with the field's name, before anything listens. `disk`, `socket` and `rng` default to the operating
+    system's; tests replace them.
     """
 
     def __init__(
-        self, orders, base, clock, fleet, cores, tell, log, disk=None, socket=bound, rng=None, where="settings"
+        self, orders, base, clock, fleet, cores, notify, log, disk=None, socket=bound, rng=None, where="settings"
     ):
         self.orders = orders
         self.settings = orders.peers
         self.clock = clock
         self.fleet = fleet
         self.cores = cores
-        self.tell = tell
+        self.notify = notify
         self.log = log
         self.rng = rng or SystemRandom()
         self.make_socket = socket
@@ -50,21 +50,21 @@
         self.made_at = clock.now()
         self.switch = SharingSwitch(log)
         self.seal = self.datagrams = self.members = self.events = self.present = self.subsets = None
-        self.signals = self.turns = None  # where the settings ask for them
+        self.signals = self.turns = None  # None unless enabled in the settings
         self.tasks = []
 
     @property
     def first(self):
-        """The first incarnation of this start."""
+        """The first incarnation of this process."""
         return self.reserve.first
 
     @property
     def muted(self):
-        """Whether an operator, or a fault, ended signals and turns."""
+        """Whether an operator or a fault switched signals and leases off."""
         return self.switch.muted
 
     def start(self):
-        """Raises OSError where the port is taken."""
+        """Raises OSError if the port is in use."""
         now = self.clock.now()
         self._make_membership(now)
         self._make_sharing(now)
@@ -81,7 +81,7 @@
         settings, name = self.settings, self.orders.name
         sock = self.make_socket(settings.host, settings.port)
         self.seal = Seal(settings.cluster, self.key, name, self.rng, lambda: self.members.incarnation)
-        self.datagrams = Datagrams(self.seal, self.clock, sock, self._turned)
+        self.datagrams = Datagrams(self.seal, self.clock, sock, self._on_turn)
         self.members = Members(
             Identity(name, self.datagrams.address, settings.machine, self.orders.zone),
             self.rng,
@@ -103,7 +103,7 @@
             self.cores,
             self.members,
             self.datagrams,
-            self.tell,
+            self.notify,
             self.log,
             self.made_at,
         )
@@ -114,7 +114,9 @@
             self.signals = SignalExchange(clock, self.fleet, cores, self.present, self.switch, datagrams, self.rng, now)
             datagrams.machines["signals"] = self.signals.machine
         if self.settings.turns:
-            self.turns = TurnTaking(self.orders.name, clock, cores, self.present, self.switch, datagrams, self.log, now)
+            self.turns = LeaseHolder(
+                self.orders.name, clock, cores, self.present, self.switch, datagrams, self.log, now
+            )
             datagrams.machines["turns"] = self.turns.machine
 
     def _start_tasks(self):
@@ -123,8 +125,8 @@
         if self.signals is not None or self.turns is not None:
             self.tasks.append(loop.create_task(self._share()))
 
-    def _turned(self):
-        """A machine took a datagram, or its time came."""
+    def _on_turn(self):
+        """Called after a state machine handled a datagram or a timer."""
         if self.events.log_state_changes():
             self.subsets.changed = True
         self.events.log_duplicates()
@@ -132,32 +134,32 @@
         self.reserve.extend_if_needed(self.members)
 
     async def _share(self):
-        """Also while no request comes: those in the queue wait for what others told."""
+        """Runs also while no request arrives, since queued requests depend on peer reports."""
         while True:
             await asyncio.sleep(SHARING_INTERVAL_S)
             if self.signals is not None:
-                self.signals.tell_modules()
+                self.signals.update_policies()
             if self.turns is not None:
-                self.switch.guard(self.turns.assign_trials)
+                self.switch.guard(self.turns.assign_half_open_probes)
                 self.datagrams.turn()
 
     def listed(self):
-        """The list of workers changed."""
-        if self.subsets is not None:  # else it is worked out anyway once this router has started
+        """Called when the list of workers changed."""
+        if self.subsets is not None:  # otherwise it is computed when the router starts
             self.subsets.changed = True
 
-    async def turn_to_stop(self):
-        """Returns once this router may stop: in its turn, or after the time that the settings name."""
+    async def wait_for_permit_to_stop(self):
+        """Returns once this router may stop: with a permit, or after the configured time."""
         restart = self.settings.restart
         if self.turns is not None and restart is not None and not self.muted:
-            await self.turns.turn_to_stop(restart)
+            await self.turns.wait_for_permit_to_stop(restart)
 
     def rows(self):
-        """The status of all routers known, this one first."""
+        """The status of all known routers, this one first."""
         return status.status_rows(self.clock.now(), self.members, self.events)
 
     def collect(self):
-        """Prometheus' collector."""
+        """Collects metrics for Prometheus."""
         yield from status.member_metrics(self.members)
         yield from status.datagram_metrics(self.seal, self.members, self.datagrams)
         yield from status.subset_metrics(self.subsets.sizes)
@@ -167,7 +169,7 @@
             yield from status.signal_metrics(self.signals.machine, self.clock.now())
 
     async def stop(self):
-        """Says goodbye, so that nobody has to suspect it."""
+        """Announces that this router leaves, so that peers do not suspect it."""
         if not self.tasks:
             return
         tasks = [*self.tasks, *filter(None, [self.reserve.extending])]
--- a/ramppulley/daemon/cluster/incarnations.py
+++ b/ramppulley/daemon/cluster/incarnations.py
@@ -1,17 +1,17 @@
-"""Incarnations that this router may use: reserved on its disk before they are used, so that no restart uses one again."""
+"""Incarnation numbers of this router: reserved on disk before use, so that no restart reuses one."""
 
 import asyncio
 
 from ramppulley.cluster import snapshot
 from ramppulley.daemon.cluster.settings import field_fault
 
-RETRY_S = 1.0  # after a snapshot that could not be written
+RETRY_S = 1.0  # after a failed write of the snapshot
 
 
 class IncarnationReserve:
-    """Reserves a block at the start, above all that any life of this router may have used; raises BadFile.
+    """Reserves a block at startup, above any incarnation that earlier processes may have used; raises BadFile.
 
-    `first` is the first of that block, `highest` the last that may be used.
+    `first` is the first incarnation of that block, `highest` the last one that may be used.
     """
 
     def __init__(self, disk, path, cluster, name, log, where):
@@ -20,7 +20,7 @@
         self.cluster = cluster
         self.name = name
         self.log = log
-        self.extending = None  # the task under way
+        self.extending = None  # the running task, if any
         try:
             used = self._highest_used(where)
             self.first = used + 1
@@ -46,13 +46,13 @@
             raise field_fault(where, "snapshot", f"{self.path}: {fault}") from fault
 
     def extend_if_needed(self, members):
-        """Reserves more once half of a block is left."""
+        """Reserves another block once less than half a block is left."""
         used = max(members.incarnation, members.heard_of_self)
         if used > self.highest - snapshot.BLOCK // 2 and self.extending is None:
             self.extending = asyncio.get_running_loop().create_task(self._extend(members))
 
     async def _extend(self, members):
-        """More incarnations may be used once it is durable that they were."""
+        """Raises the limit only after the new reservation is durable."""
         highest = max(members.heard_of_self, self.highest) + snapshot.BLOCK
         try:
             await asyncio.to_thread(self.disk.replace, self.path, self._packed(highest))
--- a/ramppulley/daemon/cluster/peer_events.py
+++ b/ramppulley/daemon/cluster/peer_events.py
@@ -1,12 +1,12 @@
-"""What the machines noticed about routers, into the log: changed states, a name twice, a snapshot that is too old."""
+"""Logs events about routers: state changes, duplicate names, a stale snapshot."""
 
 from ramppulley.service.clock import TENTHS
 
-REPEAT_INTERVAL = 30 * TENTHS  # one line in this for a name that two routers have
+REPEAT_INTERVAL = 30 * TENTHS  # between log lines about the same duplicate name
 
 
 class PeerEvents:
-    """Empties the machines' events after each turn of theirs."""
+    """Drains and logs the events of the state machines after each of their steps."""
 
     def __init__(self, name, clock, members, seal, reserve, log):
         self.name = name
@@ -15,11 +15,11 @@
         self.seal = seal
         self.reserve = reserve
         self.log = log
-        self.duplicates = {}  # name -> when it was last logged that two routers have it
+        self.duplicates = {}  # name -> time of the last log line about it
         self.stale_logged = False
 
     def log_state_changes(self):
-        """Whether there were any."""
+        """Logs state changes of routers; whether there were any."""
         events = self.members.events
         changed = bool(events)
         for state, name in events:
@@ -28,21 +28,21 @@
         return changed
 
     def log_duplicates(self):
-        """Names that two routers have."""
+        """Logs names that more than one router uses."""
         now = self.clock.now()
         for name in self.seal.twice:
             if not self.duplicate(name, now):
-                mine = "ours: another router runs under it" if name == self.name else "two routers run under it"
-                self.log.error("a name twice", name=name, why=mine)
+                cause = "another router uses this router's name" if name == self.name else "two routers use it"
+                self.log.error("a name twice", name=name, why=cause)
                 self.duplicates[name] = now
         self.seal.twice.clear()
 
     def duplicate(self, name, now):
-        """Whether it was logged of late that two routers have that name."""
+        """Whether the name was reported as a duplicate within the last REPEAT_INTERVAL."""
         return now - self.duplicates.get(name, -REPEAT_INTERVAL) < REPEAT_INTERVAL
 
     def log_stale_snapshot(self):
-        """Others remember incarnations of us that this start did not know of."""
+        """Logs once if peers remember higher incarnations of this router than its snapshot held."""
         heard = self.members.heard_of_self
         if heard >= self.reserve.first and self.members.local.silent and not self.stale_logged:
             self.stale_logged = True
--- a/ramppulley/daemon/cluster/pool_workers.py
+++ b/ramppulley/daemon/cluster/pool_workers.py
@@ -1,13 +1,13 @@
-"""Workers as the pools' decision modules have them."""
+"""Access to the workers of the pools' routing policies."""
 
 
 def workers_of(core):
-    """{box: worker} of one pool; baselines have none."""
+    """{endpoint: worker} of one pool; empty for baseline policies, which have none."""
     return getattr(core.router, "workers", {})
 
 
 def listed_workers(cores):
-    """[(box, worker)] of all pools, without those that are gone."""
+    """[(endpoint, worker)] of all pools, without workers that are gone."""
     return [
         (endpoint, worker)
         for core in cores.values()
--- a/ramppulley/daemon/cluster/present_peers.py
+++ b/ramppulley/daemon/cluster/present_peers.py
@@ -1,12 +1,12 @@
-"""The other routers that count, as signals and turns address them."""
+"""Addresses of the peers that signals and leases are exchanged with."""
 
 from ramppulley.service.clock import TENTHS
 
-REFRESH_INTERVAL = TENTHS // 20  # they are looked up so often at most: they are asked for at each datagram
+REFRESH_INTERVAL = TENTHS // 20  # minimum time between lookups, since the addresses are needed for each datagram
 
 
 class PresentPeers:
-    """{name: address} of the routers that are alive or suspects, as they were a moment ago."""
+    """Caches {name: address} of the routers that are alive or suspect."""
 
     def __init__(self, members, clock):
         self.members = members
@@ -26,6 +26,6 @@
             }
         return self.cached
 
-    def remembered(self):
-        """How many routers are remembered, this one too; those that left are not counted."""
+    def remembered_count(self):
+        """Number of known routers including this one, without those that left."""
         return 1 + sum(member.state != "left" for member in self.members.members.values())
--- a/ramppulley/daemon/cluster/settings.py
+++ b/ramppulley/daemon/cluster/settings.py
@@ -1,4 +1,4 @@
-"""What a router among others reads of its settings before anything listens; faults name the field."""
+"""Reads the cluster key that the settings refer to, before anything listens; errors name the field."""
 
 from pathlib import Path
 
@@ -10,14 +10,14 @@
 
 
 def field_fault(where: str, field: str, text: str) -> BadFile:
-    """The error for a field of the settings' part `peers`. `where` names the settings' file."""
+    """The error for a field in the section `peers`. `where` names the settings file."""
     return BadFile(f"{where}: peers.{field}: {text}")
 
 
 def read_key(path: Path, where: str) -> bytes:
-    """The cluster's key; raises BadFile."""
+    """Reads the cluster key; raises BadFile."""
     try:
-        raw = Disk().read(path, KEY_FILE_BYTES_MAX)  # the operators' file, not one that the router keeps
+        raw = Disk().read(path, KEY_FILE_BYTES_MAX)  # provided by operators, not written by the router
     except OSError as fault:
         raise field_fault(where, "key_file", f"{path}: {fault.strerror}") from fault
     if raw is None:
--- a/ramppulley/daemon/cluster/sharing_switch.py
+++ b/ramppulley/daemon/cluster/sharing_switch.py
@@ -1,21 +1,21 @@
-"""Whether what others told, and turns, count: an operator's word, and the end of it after a fault."""
+"""Switch for peer reports and leases: set by an operator, and switched off by a fault."""
 
 
 class SharingSwitch:
-    """`muted`: this router decides as one that knows of no signals and turns."""
+    """While `muted`, this router decides without signals and leases."""
 
     def __init__(self, log):
         self.log = log
         self.muted = False
 
     def switch(self, on):
-        """An operator's word."""
+        """Sets the switch for an operator."""
         if self.muted is on:
             self.muted = not on
             self.log.warning("signals and turns", count=on)
 
     def guard(self, act, *args):
-        """A fault here costs what others told, never a request: it is called on each request's way."""
+        """Calls `act`. An exception switches peer reports off; it must not fail the request on whose path this is called."""
         try:
             act(*args)
         except Exception:
--- a/ramppulley/daemon/cluster/signal_exchange.py
+++ b/ramppulley/daemon/cluster/signal_exchange.py
@@ -1,15 +1,15 @@
-"""Signals: what other routers have out at workers, and what this router tells them."""
+"""Exchanges signals with other routers: the load that each has placed on workers."""
 
 from ramppulley import door
 from ramppulley.cluster import signals
 from ramppulley.daemon.cluster.pool_workers import listed_workers
 from ramppulley.service.clock import TENTHS
 
-MIN_INTERVAL = 5 * TENTHS // 1000  # between two times that the modules are told
+MIN_INTERVAL = 5 * TENTHS // 1000  # between updates of the policies
 
 
 class SignalExchange:
-    """Joins the machine `signals.Signals` to the pools' modules."""
+    """Connects the state machine `signals.Signals` to the pools' policies."""
 
     def __init__(self, clock, fleet, cores, present, switch, datagrams, rng, now):
         self.clock = clock
@@ -18,25 +18,25 @@
         self.switch = switch
         self.datagrams = datagrams
         self.machine = signals.Signals(self._own_rows, present.addresses, rng, now)
-        self.told_at = 0
-        self.reported_at = {}  # mark -> time of the worker's newest report that claims were held against
+        self.updated_at = 0
+        self.reported_at = {}  # endpoint id -> time of the newest worker report that peer claims were checked against
         for core in cores().values():
-            core.before_decision, core.attempts_changed = self.tell_modules, self.own_sends_changed
+            core.before_decision, core.attempts_changed = self.update_policies, self.own_attempts_changed
 
-    def own_sends_changed(self):
-        """A send of this router came or went: the others are told soon."""
+    def own_attempts_changed(self):
+        """An attempt of this router started or ended: schedules a signal to the peers."""
         if not self.switch.muted:
             self.machine.changed(self.clock.now())
             self.datagrams.soon("signals", self.machine.due())
 
     def _own_rows(self):
-        """What this router's modules know of workers themselves."""
+        """Rows with this router's own observations of workers."""
         now = self.clock.now()
         return [
             signals.row_of(
                 now,
                 endpoint.mark,
-                sum(send.unread for send in worker.open_attempts if send.first_token_at is None),
+                sum(attempt.unread for attempt in worker.open_attempts if attempt.first_token_at is None),
                 worker.memory,
                 worker.suspect,
                 worker.last_heard_at,
@@ -45,29 +45,31 @@
             for endpoint, worker in listed_workers(self.cores())
         ]
 
-    def tell_modules(self):
-        """The modules are told what is known now, if anything came since."""
+    def update_policies(self):
+        """Passes new peer reports to the policies, at most once per MIN_INTERVAL."""
         now = self.clock.now()
-        if now - self.told_at >= MIN_INTERVAL:
-            self.told_at = now
-            self.switch.guard(self._tell_modules, now)
+        if now - self.updated_at >= MIN_INTERVAL:
+            self.updated_at = now
+            self.switch.guard(self._update_policies, now)
 
-    def _tell_modules(self, now):
-        heard = {} if self.switch.muted else self.machine.heard(now)
-        elsewhere = heard.get("")
+    def _update_policies(self, now):
+        reports = {} if self.switch.muted else self.machine.heard(now)
+        default_report = reports.get("")
         changed = {}
         for name, endpoint in self.fleet.endpoints.items():
-            told = heard.get(endpoint.mark, elsewhere)
-            new = told and door.PeerReport(told.unread, told.memory, told.known, told.ill, told.well)
-            if new != endpoint.heard:
-                endpoint.heard = new
+            report = reports.get(endpoint.mark, default_report)
+            peer_report = report and door.PeerReport(
+                report.unread, report.memory, report.known, report.ill, report.well
+            )
+            if peer_report != endpoint.heard:
+                endpoint.heard = peer_report
                 changed.setdefault(self.fleet.entries[name].pool, []).append(endpoint)
         for pool, endpoints in changed.items():
             self.cores()[pool].peer_reports_changed(endpoints)
-        self._check_claims()
+        self._check_peer_claims()
 
-    def _check_claims(self):
-        """New reports of prefill workers to ourselves: others' claims are held against them."""
+    def _check_peer_claims(self):
+        """Checks peers' claims against new reports that prefill workers sent to this router."""
         for endpoint, worker in listed_workers(self.cores()):
             if worker.can_prefill and worker.reports and worker.reports[-1][0] > self.reported_at.get(endpoint.mark, 0):
                 at, report, ours, _ = worker.reports[-1]
--- a/ramppulley/daemon/cluster/status.py
+++ b/ramppulley/daemon/cluster/status.py
@@ -1,4 +1,4 @@
-"""What is shown of a router among others: rows for `./rp peers`, and metrics."""
+"""Cluster status of a router: rows for `./rp peers`, and metrics."""
 
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
@@ -7,7 +7,7 @@
 
 
 def status_rows(now, members, events):
-    """[name, state, incarnation, zone, machine, traffic, host, port, seconds in this state]; ourselves first."""
+    """[name, state, incarnation, zone, machine, traffic, host, port, seconds in this state]; this router first."""
     return [_own_row(members.local)] + [
         _row(now, member, events.duplicate(member.name, now))
         for member in sorted(members.members.values(), key=by_name)
@@ -51,44 +51,44 @@
 
 
 def datagram_metrics(seal, members, datagrams):
-    """What was sent, and what came and changed nothing."""
-    unfit = CounterMetricFamily("ramppulley_datagrams_unfit", "Datagrams that changed nothing.", labels=["cause"])
+    """Datagrams sent, and received datagrams that were ignored."""
+    rejected = CounterMetricFamily("ramppulley_datagrams_unfit", "Datagrams that changed nothing.", labels=["cause"])
     for cause, count in {**seal.count, **members.count}.items():
-        unfit.add_metric([cause], count)
-    yield unfit
+        rejected.add_metric([cause], count)
+    yield rejected
     yield CounterMetricFamily("ramppulley_datagrams_sent", "Datagrams to other routers.", value=datagrams.sent)
     yield CounterMetricFamily("ramppulley_datagram_bytes", "Bytes of those.", value=datagrams.bytes)
 
 
 def subset_metrics(sizes):
-    """Workers used ordinarily, by pool."""
-    uses = GaugeMetricFamily("ramppulley_subset", "Workers used ordinarily; 0 = all.", labels=["pool"])
+    """Size of the worker subset, by pool."""
+    subset_sizes = GaugeMetricFamily("ramppulley_subset", "Workers used ordinarily; 0 = all.", labels=["pool"])
     for pool, count in sizes.items():
-        uses.add_metric([pool], count)
-    yield uses
+        subset_sizes.add_metric([pool], count)
+    yield subset_sizes
 
 
 def turn_metrics(turns, now):
-    """Turns that this router holds."""
-    held = GaugeMetricFamily("ramppulley_turns", "Turns that this router holds.", labels=["thing"])
-    for thing in turns.wanted:
-        held.add_metric([thing], turns.holds(now, thing))
-    yield held
+    """Leases that this router holds."""
+    held_leases = GaugeMetricFamily("ramppulley_turns", "Turns that this router holds.", labels=["thing"])
+    for lease in turns.wanted:
+        held_leases.add_metric([lease], turns.holds(now, lease))
+    yield held_leases
 
 
 def signal_metrics(signals, now):
-    """How far other routers' signals are known and believed."""
+    """Coverage and reliability of other routers' signals."""
     yield GaugeMetricFamily(
         "ramppulley_signals_known", "Part of the other routers whose news count.", value=signals.known(now)
     )
     yield GaugeMetricFamily(
         "ramppulley_signals_honest", "How much of what waits at workers others speak of.", value=signals.honest()
     )
-    lost = CounterMetricFamily(
+    rejected_reports = CounterMetricFamily(
         "ramppulley_signals_refused",
         "News that changed nothing; claims that our own reports refute.",
         labels=["cause"],
     )
     for cause, count in signals.count.items():
-        lost.add_metric([cause], count)
-    yield lost
+        rejected_reports.add_metric([cause], count)
+    yield rejected_reports
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -1,4 +1,4 @@
-"""Which workers this router uses ordinarily, worked out anew when routers, workers or traffic change."""
+"""Selects the subset of workers that this router normally uses; recomputed when routers, workers or traffic change."""
 
 import asyncio
 from zlib import crc32
@@ -6,14 +6,14 @@
 from ramppulley.cluster.subsets import Peer, Place, View, part_of, traffic_of
 from ramppulley.service.clock import TENTHS
 
-INTERVAL_S = 0.5  # between two times that subsets are worked out
-TRAFFIC_INTERVAL = 5 * TENTHS  # between two times that our own traffic is measured
+INTERVAL_S = 0.5  # between computations of subsets
+TRAFFIC_INTERVAL = 5 * TENTHS  # between measurements of this router's traffic
 
 
 class SubsetSelection:
-    """Joins `cluster.subsets` to the list of workers. `tell(boxes)` is called with those whose place changed."""
+    """Connects `cluster.subsets` to the list of workers. `notify` gets [(pool, endpoint)] with a changed subset place."""
 
-    def __init__(self, orders, clock, fleet, cores, members, datagrams, tell, log, measured_at):
+    def __init__(self, orders, clock, fleet, cores, members, datagrams, notify, log, measured_at):
         self.name = orders.name
         self.zone = orders.zone
         self.subset = orders.peers.subset
@@ -22,29 +22,31 @@
         self.cores = cores
         self.members = members
         self.datagrams = datagrams
-        self.tell = tell
+        self.notify = notify
         self.log = log
-        self.changed = True  # routers, workers or traffic, since subsets were worked out
-        self.parts = {}  # pool -> part of the list that is used
-        self.sizes = {}  # pool -> workers used ordinarily, 0 for all
+        self.changed = True  # whether routers, workers or traffic changed since the last computation
+        self.fractions = {}  # pool -> fraction of the list that is used
+        self.sizes = {}  # pool -> number of workers in the subset, 0 for all
         self.requests_before = 0
         self.measured_at = measured_at
 
     async def run(self):
-        """Until it is cancelled."""
+        """Runs until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL_S)
             self._measure_traffic()
             if self.changed and self.subset is not None:
                 self.changed = False
                 try:
-                    found = await asyncio.to_thread(self._found, *self._seen())  # not on the loop: streams go on
-                    self._apply(found)
-                except Exception:  # the whole list stays usable whatever happens here
+                    results = await asyncio.to_thread(
+                        self._found, *self._seen()
+                    )  # in a thread, so that streams are not delayed
+                    self._apply(results)
+                except Exception:  # the whole list stays usable after a failure
                     self.log.exception("subsets not worked out")
 
     def _measure_traffic(self):
-        """Our own traffic, coarsely, told anew where it moved."""
+        """Measures this router's traffic level and announces it if it changed."""
         now = self.clock.now()
         requests = sum(core.accepted for core in self.cores().values())
         if now - self.measured_at < TRAFFIC_INTERVAL:
@@ -60,9 +62,9 @@
             self.datagrams.turn()
 
     def _seen(self):
-        """(ourselves, all routers, each pool's workers, each pool's part so far) as subsets see them."""
+        """Input of the subset computation: (this router, all routers, workers by pool, current fraction by pool)."""
         own = Peer(self.name, crc32(self.zone.encode()), 2.0**self.members.local.traffic)
-        return own, [own, *self._other_routers()], self._pools(), dict(self.parts)
+        return own, [own, *self._other_routers()], self._pools(), dict(self.fractions)
 
     def _other_routers(self):
         return [
@@ -81,34 +83,34 @@
                 )
         return pools
 
-    def _found(self, own, peers, pools, before):
-        """{pool: (part, {mark: weight within what is used})}, empty where the whole list is used."""
-        found = {}
+    def _found(self, own, peers, pools, previous_fractions):
+        """{pool: (fraction, {endpoint id: weight in the subset})}; no weights if the whole list is used."""
+        results = {}
         for pool, places in pools.items():
-            part = part_of(len(peers), len(places), self.subset.workers_least, before.get(pool, 1.0))
-            found[pool] = part, View(peers, places, part).weights(own.name) if part < 1 else {}
-        return found
+            fraction = part_of(len(peers), len(places), self.subset.workers_least, previous_fractions.get(pool, 1.0))
+            results[pool] = fraction, View(peers, places, fraction).weights(own.name) if fraction < 1 else {}
+        return results
 
-    def _apply(self, found):
-        changed = self._changed_boxes(found)
-        for pool, (part, weights) in found.items():
-            if part != self.parts.get(pool, 1.0):
-                self.log.info("subset", pool=pool, part=part, workers=len(weights) or "all")
-            self.parts[pool], self.sizes[pool] = part, len(weights)
+    def _apply(self, results):
+        changed = self._changed_endpoints(results)
+        for pool, (fraction, weights) in results.items():
+            if fraction != self.fractions.get(pool, 1.0):
+                self.log.info("subset", pool=pool, part=fraction, workers=len(weights) or "all")
+            self.fractions[pool], self.sizes[pool] = fraction, len(weights)
         if changed:
-            self.tell(changed)
+            self.notify(changed)
 
-    def _changed_boxes(self, found):
-        """[(pool, box)] of those that got another place or weight."""
+    def _changed_endpoints(self, results):
+        """[(pool, endpoint)] whose subset membership or weight changed."""
         changed = []
         for name, endpoint in self.fleet.endpoints.items():
             entry = self.fleet.entries[name]
-            _, weights = found.get(entry.pool, (1.0, {}))
+            _, weights = results.get(entry.pool, (1.0, {}))
             if endpoint.state != "ready":
                 continue
-            usual = not weights or endpoint.mark in weights
+            in_subset = not weights or endpoint.mark in weights
             weight = weights.get(endpoint.mark, entry.weight)
-            if (usual, weight) != (endpoint.usual, endpoint.weight):
-                endpoint.usual, endpoint.weight = usual, weight
+            if (in_subset, weight) != (endpoint.usual, endpoint.weight):
+                endpoint.usual, endpoint.weight = in_subset, weight
                 changed.append((entry.pool, endpoint))
         return changed
--- a/ramppulley/daemon/daemon.py
+++ b/ramppulley/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one router together; the only place that knows them all."""
+"""Wires the components of one router together; the only module that depends on all of them."""
 
 import asyncio
 import os
@@ -25,15 +25,17 @@
 from ramppulley.service.switchboard import Switchboard
 
 
-def logs(form, stream=None):
-    """Structured logs on standard error: for people, or JSON lines."""
-    last = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
+def logs(log_format, stream=None):
+    """Configures structured logs on standard error: as JSON lines or human-readable."""
+    renderer = (
+        structlog.processors.JSONRenderer() if log_format == "json" else structlog.dev.ConsoleRenderer(colors=False)
+    )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         logger_factory=structlog.PrintLoggerFactory(stream or sys.stderr),
     )
@@ -41,24 +43,34 @@
 
 
 class Daemon:
-    """One router. `make` builds the decision module of a pool; baselines and broken ones come in here."""
+    """One router. `make_router` creates the routing policy of a pool; baselines and mutants replace it in tests.
+
+    `cluster_arguments` replaces the disk, socket, random numbers or settings name that `Cluster` uses.
+    """
 
-    def __init__(self, orders, log, base=".", make=Router, clock=LoopClock, **edges):
-        self.orders, self.log, self.base, self.make = orders, log, Path(base), make
-        self.make_clock, self.edges, self.cluster = clock, edges, None  # `edges`: other ones than the machine's
+    def __init__(self, orders, log, base=".", make_router=Router, clock=LoopClock, **cluster_arguments):
+        self.orders, self.log, self.base, self.make_router = orders, log, Path(base), make_router
+        self.make_clock, self.cluster_arguments, self.cluster = clock, cluster_arguments, None
         self.fleet, self.front, self.recorders = Fleet(), None, []
 
     async def start(self):
-        """Raises OSError (port taken, no such file) or BadFile before anything runs."""
+        """Raises OSError (port in use, file missing) or BadFile before anything runs."""
         orders, loop = self.orders, asyncio.get_running_loop()
         self.clock, estimator = self.make_clock(loop), Estimator()
         if orders.peers is not None:
             from ramppulley.daemon.cluster import Cluster
 
             self.cluster = Cluster(
-                orders, self.base, self.clock, self.fleet, lambda: self.board.cores, self._tell, self.log, **self.edges
+                orders,
+                self.base,
+                self.clock,
+                self.fleet,
+                lambda: self.board.cores,
+                self._notify_cores,
+                self.log,
+                **self.cluster_arguments,
             )
-        self.book = Book(self.base / orders.record if orders.record else None)
+        self.event_log = Book(self.base / orders.record if orders.record else None)
         self.engines = OpenAIConnector(
             self.log,
             frozenset(orders.engines.full_statuses),
@@ -68,33 +80,35 @@
             orders.engines.load,
             orders.engines.quiet_s,
         )
-        cases = {name: case.of_door() for name, case in orders.use_cases.items()}
-        accounts = {name: i for i, name in enumerate(orders.accounts)}
+        request_classes = {name: settings.to_policy_type() for name, settings in orders.use_cases.items()}
+        tenant_numbers = {name: i for i, name in enumerate(orders.accounts)}
         cores = {}
-        for number, (pool, told) in enumerate(orders.pools.items()):
-            served = {name: cases[name] for name in told.use_cases or cases}
+        for number, (pool, pool_settings) in enumerate(orders.pools.items()):
+            served = {name: request_classes[name] for name in pool_settings.use_cases or request_classes}
             cores[pool] = Core(
                 pool,
-                self._maker(number, pool, served),
+                self._router_factory(number, pool, served),
                 self.engines,
                 self.clock,
                 served,
-                accounts,
-                self.book,
+                tenant_numbers,
+                self.event_log,
                 self.log,
                 estimator,
                 self.fleet.name_of,
             )
         naming = Naming(
-            frozenset(cases),
+            frozenset(request_classes),
             **orders.naming.model_dump(),
             keys={key: name for name, account in orders.accounts.items() for key in account.keys},
         )
-        self.board = Switchboard(cores, orders.routes(), naming, self.book, f"{orders.name}-", orders.questions_most)
+        self.board = Switchboard(
+            cores, orders.routes(), naming, self.event_log, f"{orders.name}-", orders.questions_most
+        )
         self.watcher = Watcher(
-            self.base / orders.workers.file, json5.read, self._listed, self.log, orders.workers.every_s
+            self.base / orders.workers.file, json5.read, self._workers_changed, self.log, orders.workers.every_s
         )
-        self.watcher.look()
+        self.watcher.reload_if_changed()
         if self.cluster is not None:
             self.cluster.start()
             self.board.registry.register(self.cluster)
@@ -110,15 +124,15 @@
             slow_client_timeout_s=listen.slow_s,
         ).start()
         self.watcher.start()
-        self._tidying = loop.create_task(self._tidy())
+        self._expiry_task = loop.create_task(self._expire_idle_connections())
         self.log.info(
             "router ready", name=orders.name, port=self.front.port, pid=os.getpid(), workers=len(self.fleet.endpoints)
         )
         return self
 
-    def _maker(self, number, pool, cases):
+    def _router_factory(self, number, pool, request_classes):
         orders = self.orders
-        permits = door.Capabilities(
+        capabilities = door.Capabilities(
             sends=orders.permits.sends,
             probes=orders.engines.load == "probe",
             places=orders.permits.places,
@@ -126,71 +140,71 @@
         )
 
         def make(host, now):
-            given = dict(
+            arguments = dict(
                 seed=orders.seed * 1000 + number,
                 routers=orders.routers,
                 zone=crc32(orders.zone.encode()),
-                use_cases=list(cases.values()),
-                permits=permits,
-                lawbook=orders.rules.of_door(),
+                use_cases=list(request_classes.values()),
+                permits=capabilities,
+                lawbook=orders.rules.to_policy_type(),
                 now=now,
-                accounts=[door.TenantShare(a.per_second) for a in orders.accounts.values()],
+                accounts=[door.TenantShare(tenant.per_second) for tenant in orders.accounts.values()],
             )
             if not orders.record_events:
-                return self.make(host, **given)
-            folder = self.base / orders.record_events
-            folder.mkdir(parents=True, exist_ok=True)
+                return self.make_router(host, **arguments)
+            directory = self.base / orders.record_events
+            directory.mkdir(parents=True, exist_ok=True)
             self.recorders.append(
                 Recorder(
-                    self.make,
-                    folder / f"{orders.name}-{pool}-{int(time.time())}.events",
+                    self.make_router,
+                    directory / f"{orders.name}-{pool}-{int(time.time())}.events",
                     host,
                     about=f"{orders.name} {pool}",
-                    **given,
+                    **arguments,
                 )
             )
             return self.recorders[-1]
 
         return make
 
-    def _listed(self, entries):
+    def _workers_changed(self, entries):
         unknown = sorted({e.pool for e in entries} - set(self.orders.pools))
         if unknown:
             self.log.warning("workers of pools that the orders do not name are passed over", pools=unknown)
         changed = self.fleet.update([e for e in entries if e.pool in self.orders.pools], self.clock.now(), time.time())
         for _, endpoint, address in changed:
             self.engines.set_address(endpoint, address)
-        self._tell([(pool, endpoint) for pool, endpoint, _ in changed])
+        self._notify_cores([(pool, endpoint) for pool, endpoint, _ in changed])
         if self.cluster is not None:
             self.cluster.listed()
 
-    def _tell(self, changed):
+    def _notify_cores(self, changed):
         for pool, core in self.board.cores.items():
-            endpoints = [endpoint for where, endpoint in changed if where == pool]
+            endpoints = [endpoint for changed_pool, endpoint in changed if changed_pool == pool]
             if endpoints:
                 core.endpoints_changed(endpoints)
 
-    async def _tidy(self):
+    async def _expire_idle_connections(self):
         while True:
             await asyncio.sleep(1.0)
             self.engines.expire_idle()
 
     async def stop(self):
-        """Takes no more; what it has taken is answered, within the orders' time."""
+        """Accepts no more requests; those accepted are answered, within `stop_within_s`."""
         if self.front is None:
             return
         if self.cluster is not None:
-            await self.cluster.turn_to_stop()
+            await self.cluster.wait_for_permit_to_stop()
         self.log.info("router stops", pending=self.board.pending())
         await self.front.stop(self.orders.stop_within_s)
         if self.cluster is not None:
             await self.cluster.stop()
-        self._tidying.cancel()
-        await asyncio.gather(self._tidying, return_exceptions=True)
+        self._expiry_task.cancel()
+        await asyncio.gather(self._expiry_task, return_exceptions=True)
         await self.watcher.stop()
         await self.engines.settle(self.board.cores.values())
         await self.engines.close()
-        self.book.close()
+        self.event_log.close()
         for recorder in self.recorders:
             recorder.close()
         self.log.info("router stopped")
--- a/ramppulley/daemon/json5.py
+++ b/ramppulley/daemon/json5.py
@@ -1,26 +1,26 @@
-"""JSON5 files against a schema: an error names file, line, field and fix."""
+"""Validates JSON5 files against a schema; errors name file, line, field and a hint."""
 
 import re
 
 import pyjson5
 from pydantic import ValidationError
 
-FIXES = {
-    "extra_forbidden": "no such field here; take it out or mend its name",
+HINTS = {
+    "extra_forbidden": "unknown field; remove it or correct its name",
     "missing": "add this field",
-    "literal_error": "use one of the values named",
+    "literal_error": "use one of the listed values",
     "float_parsing": "write a number",
-    "int_parsing": "write a whole number",
-    "string_type": "write a text in quotes",
+    "int_parsing": "write an integer",
+    "string_type": "write a quoted string",
 }
 
 
 class BadFile(ValueError):
-    """A file that cannot be used; its text holds one line for each fault."""
+    """An invalid file; the message has one line per error."""
 
 
 def line_of(text, path):
-    """The line on which a field stands, found by walking its names through the text in order; 1 if it cannot be told.
+    """The line of a field, found by searching the names of its path in order; 1 if unknown.
 
     >>> line_of('{\\n a: {\\n  b: 1 } }', ("a", "b"))
     3
@@ -30,7 +30,7 @@
         if isinstance(name, int):
             for _ in range(name + 1):
                 step, end = text.find("{", at + 1), text.find("]", at)
-                at = step if 0 < step < end else at  # else a list of plain values, on one line as a rule
+                at = step if 0 < step < end else at  # otherwise a list of plain values, usually on one line
             continue
         found = re.compile(rf"""(?<![\w-])["']?{re.escape(str(name))}["']?\s*:""").search(text, at)
         if not found:
@@ -40,33 +40,33 @@
 
 
 def read(path, model):
-    """The checked content; raises BadFile, or OSError."""
+    """Reads and validates a file; raises BadFile or OSError."""
     with open(path, encoding="utf-8") as file:
         text = file.read()
     return parse(text, model, str(path))
 
 
 def parse(text, model, name="<text>"):
-    """As `read`, from a text."""
+    """Like `read`, from a string."""
     try:
-        told = pyjson5.decode(text)
+        content = pyjson5.decode(text)
     except pyjson5.Json5Exception as fault:
-        said = str(fault.args[0])
-        place = re.search(r"near (\d+)", said)
-        at, met = int(place.group(1)) if place else len(text), re.search(r"U\+([0-9A-F]+)", said)
-        if met:  # the place is where the parser last was; the character it met comes after it
-            at = max(at, text.find(chr(int(met.group(1), 16)), at))
+        message = str(fault.args[0])
+        position = re.search(r"near (\d+)", message)
+        at, character = int(position.group(1)) if position else len(text), re.search(r"U\+([0-9A-F]+)", message)
+        if character:  # the unexpected character comes after the position that the parser reports
+            at = max(at, text.find(chr(int(character.group(1), 16)), at))
         line = text.count("\n", 0, at) + 1
-        raise BadFile(f"{name}:{line}: not JSON5: {said}") from fault
+        raise BadFile(f"{name}:{line}: not JSON5: {message}") from fault
     try:
-        return model.model_validate(told)
-    except ValidationError as faults:
+        return model.model_validate(content)
+    except ValidationError as error:
         lines = []
-        for fault in faults.errors():
+        for fault in error.errors():
             at = [p for p in fault["loc"] if not str(p).startswith("function-")]
-            fix = FIXES.get(fault["type"], "")
+            hint = HINTS.get(fault["type"], "")
             lines.append(
                 f"{name}:{line_of(text, at)}: {'.'.join(map(str, at)) or 'file'}: {fault['msg']}"
-                + (f" ({fix})" if fix else "")
+                + (f" ({hint})" if hint else "")
             )
-        raise BadFile("\n".join(lines)) from faults
+        raise BadFile("\n".join(lines)) from error
--- a/ramppulley/daemon/orders.py
+++ b/ramppulley/daemon/orders.py
@@ -1,4 +1,4 @@
-"""The router's standing orders: what its settings file holds, checked. Times in the file are seconds."""
+"""Schema of the router's settings file, with validation. Times in the file are in seconds."""
 
 from typing import Literal
 
@@ -6,18 +6,18 @@
 
 from ramppulley import door
 
-TENTHS = 10_000
+TENTHS_PER_S = 10_000
 
 
-def tenths(seconds):
-    return int(round(seconds * TENTHS))
+def to_tenths(seconds):
+    return int(round(seconds * TENTHS_PER_S))
 
 
-class Part(BaseModel):
+class Section(BaseModel):
     model_config = ConfigDict(extra="forbid")
 
 
-class Listen(Part):
+class Listen(Section):
     host: Literal["127.0.0.1", "::1", "localhost", "0.0.0.0", "::"] = "127.0.0.1"
     port: int = Field(0, ge=0, le=65535)
     body_most_bytes: int = Field(8 << 20, ge=1024, le=256 << 20)
@@ -26,12 +26,12 @@
     slow_s: float = Field(20.0, gt=0)
 
 
-class Workers(Part):
+class Workers(Section):
     file: str
     every_s: float = Field(0.2, ge=0.02, le=60)
 
 
-class UseCase(Part):
+class RequestClassSettings(Section):
     promised_s: float = Field(gt=0)
     promised_s_per_k: float = Field(0.0, ge=0)
     outer_limit_s: float = Field(gt=0, le=3600)
@@ -42,47 +42,47 @@
     window_s: float = Field(0.0, ge=0)
 
     @model_validator(mode="after")
-    def _fits(self):
+    def _check_limits(self):
         if self.outer_limit_s < self.promised_s:
             raise ValueError("outer_limit_s must not be under promised_s")
         if self.effect == "receipted" and not self.window_s:
-            raise ValueError("a receipted use case needs window_s: how long workers remember a receipt")
+            raise ValueError("a use case with effect 'receipted' needs window_s: how long workers remember a receipt")
         return self
 
-    def of_door(self):
+    def to_policy_type(self):
         return door.RequestClass(
-            tenths(self.promised_s),
-            tenths(self.promised_s_per_k),
-            tenths(self.outer_limit_s),
-            tenths(self.pace_s),
+            to_tenths(self.promised_s),
+            to_tenths(self.promised_s_per_k),
+            to_tenths(self.outer_limit_s),
+            to_tenths(self.pace_s),
             self.benefit,
             self.effect,
             self.group,
-            tenths(self.window_s),
+            to_tenths(self.window_s),
         )
 
 
-class Account(Part):
+class TenantSettings(Section):
     per_second: float = Field(gt=0)
     keys: list[str] = []
 
 
-class Pool(Part):
+class Pool(Section):
     kinds: list[Literal["chat", "completion", "embeddings", "rerank"]] = Field(min_length=1)
     models: list[str] = Field(min_length=1)
-    use_cases: list[str] = []  # those that it serves; none named = all. Benefit is weighed among them
+    use_cases: list[str] = []  # served by this pool, empty = all; their `benefit` values are compared with each other
 
 
-class Engines(Part):
+class Engines(Section):
     load: Literal["answers", "probe"] = "answers"
     full_statuses: list[int] = [429, 503]
     connections: int = Field(512, ge=1)
     idle_s: float = Field(10.0, gt=0)
     connect_s: float = Field(1.0, gt=0)
-    quiet_s: float = Field(20.0, gt=0)  # a stream that has begun and brings no byte for so long is ended
+    quiet_s: float = Field(20.0, gt=0)  # a started stream is ended after this time without a byte
 
 
-class Lawbook(Part):
+class PolicyRules(Section):
     drain_grace_s: float = Field(2.0, gt=0)
     cold_from: float = Field(0.28, gt=0, le=1)
     cold_for_s: float = Field(14.0, ge=0)
@@ -90,25 +90,25 @@
     cold_window_s: float = Field(3.0, gt=0)
     let_go_within_s: float = Field(0.3, gt=0)
 
-    def of_door(self):
+    def to_policy_type(self):
         return door.PolicySettings(
-            tenths(self.drain_grace_s),
+            to_tenths(self.drain_grace_s),
             self.cold_from,
-            tenths(self.cold_for_s),
+            to_tenths(self.cold_for_s),
             self.cold_multiple,
-            tenths(self.cold_window_s),
-            tenths(self.let_go_within_s),
+            to_tenths(self.cold_window_s),
+            to_tenths(self.let_go_within_s),
             10,
         )
 
 
-class Permits(Part):
+class CapabilitySettings(Section):
     sends: int = Field(4, ge=1, le=4)
     places: bool = False
     longest_wait_s: float = Field(2.0, ge=0)
 
 
-class Naming(Part):
+class Naming(Section):
     fallback: str
     by_kind: dict[Literal["chat", "completion", "embeddings", "rerank"], str] = {}
     by_model: dict[str, str] = {}
@@ -119,47 +119,47 @@
     keys_needed: bool = False
 
 
-class Subset(Part):
-    """Workers that the router uses ordinarily, where it knows of others."""
+class Subset(Section):
+    """Limits the workers that a router normally uses, if there is more than one router."""
 
-    workers_least: int = Field(12, ge=4)  # two pairs
+    workers_least: int = Field(12, ge=4)  # two prefill and decode pairs
 
 
-class Restart(Part):
-    """How many routers may stop at once: this part of them, one at least; one that waits for its turn goes on serving."""
+class Restart(Section):
+    """Rolling restart: at most this part of the routers (at least one) stops at once; the others wait and keep serving."""
 
     part: float = Field(0.1, gt=0, le=1)
-    within_s: float = Field(30.0, gt=0)  # then it stops all the same
+    within_s: float = Field(30.0, gt=0)  # after this time it stops without a permit
 
 
-class Peers(Part):
-    """Other routers; off where this part is missing."""
+class Peers(Section):
+    """Exchange with other routers; disabled if this section is absent."""
 
     cluster: str = Field(pattern=r"^[a-z][a-z0-9-]{0,31}$")
-    key_file: str  # 16 to 64 bytes, white space at the ends aside; the same file's text at all routers
-    snapshot: str  # file in which the router keeps what a restart must not forget
+    key_file: str  # 16 to 64 bytes after stripping white space; the same at all routers
+    snapshot: str  # file for state that must survive a restart
     host: Literal["127.0.0.1", "::1"] = "127.0.0.1"
     port: int = Field(0, ge=0, le=65535)
     seeds: list[str] = []  # HOST:PORT, or CLUSTER@HOST:PORT
     machine: str = Field("", max_length=64)
     subset: Subset | None = None
-    turns: bool = False  # a doubted worker is tried by one router at a time
-    restart: Restart | None = None  # routers that are told to stop do so in turns
-    signals: bool = False  # routers tell each other what they see of workers and have out there
+    turns: bool = False  # a suspect worker is probed by one router at a time
+    restart: Restart | None = None  # routers that are to stop do so a few at a time
+    signals: bool = False  # routers exchange what they observe of workers and their open attempts
 
     @model_validator(mode="after")
-    def _seeds(self):
+    def _check_restart_and_seeds(self):
         if self.restart is not None and not self.turns:
             raise ValueError("restart needs turns")
         self.addresses()
         return self
 
     def addresses(self):
-        """Of the seeds; raises ValueError."""
+        """Returns (host, port) of the seeds; raises ValueError."""
         found = []
         for seed in self.seeds:
-            cluster, _, where = seed.rpartition("@")
-            host, _, port = where.rpartition(":")
+            cluster, _, address = seed.rpartition("@")
+            host, _, port = address.rpartition(":")
             if cluster and cluster != self.cluster:
                 raise ValueError(f"seeds: {seed!r} is of cluster {cluster!r}, this is {self.cluster!r}")
             if not host or not port.isdigit() or not 0 < int(port) < 65_536:
@@ -168,8 +168,8 @@
         return found
 
 
-class Orders(Part):
-    """The whole file."""
+class Orders(Section):
+    """The content of the settings file."""
 
     name: str = Field("r0", pattern=r"^[a-z][a-z0-9]{0,15}$")
     zone: str = ""
@@ -178,47 +178,49 @@
     listen: Listen = Listen()
     workers: Workers
     pools: dict[str, Pool] = Field(min_length=1)
-    use_cases: dict[str, UseCase] = Field(min_length=1)
-    accounts: dict[str, Account] = {}
+    use_cases: dict[str, RequestClassSettings] = Field(min_length=1)
+    accounts: dict[str, TenantSettings] = {}
     naming: Naming
     engines: Engines = Engines()
-    rules: Lawbook = Lawbook()
-    permits: Permits = Permits()
+    rules: PolicyRules = PolicyRules()
+    permits: CapabilitySettings = CapabilitySettings()
     peers: Peers | None = None
     questions_most: int = Field(20_000, ge=1)
     stop_within_s: float = Field(10.0, ge=0)
     record: str | None = None
-    record_events: str | None = None  # folder for the module's events and actions, a file for each pool and start
+    record_events: str | None = None  # directory for recorded policy events and actions, one file per pool and start
     log: Literal["console", "json"] = "console"
 
     @model_validator(mode="after")
-    def _names(self):
-        for where, case in [
+    def _check_references(self):
+        for source, class_name in [
             ("naming.fallback", self.naming.fallback),
             *((f"naming.by_kind.{k}", c) for k, c in self.naming.by_kind.items()),
             *((f"naming.by_model.{k}", c) for k, c in self.naming.by_model.items()),
         ]:
-            if case not in self.use_cases:
-                raise ValueError(f"{where}: no use case {case!r}; use_cases has {', '.join(self.use_cases)}")
-        for pool, told in self.pools.items():
-            for case in told.use_cases:
-                if case not in self.use_cases:
+            if class_name not in self.use_cases:
+                raise ValueError(f"{source}: no use case {class_name!r}; use_cases has {', '.join(self.use_cases)}")
+        for pool, pool_settings in self.pools.items():
+            for class_name in pool_settings.use_cases:
+                if class_name not in self.use_cases:
                     raise ValueError(
-                        f"pools.{pool}.use_cases: no use case {case!r}; there are {', '.join(self.use_cases)}"
+                        f"pools.{pool}.use_cases: no use case {class_name!r}; there are {', '.join(self.use_cases)}"
+                    )
+            for kind in pool_settings.kinds:
+                class_name = self.naming.by_kind.get(kind, self.naming.fallback)
+                if pool_settings.use_cases and class_name not in pool_settings.use_cases:
+                    raise ValueError(
+                        f"pools.{pool}.use_cases: naming assigns {kind} to {class_name!r}, which is not listed"
                     )
-            for kind in told.kinds:
-                case = self.naming.by_kind.get(kind, self.naming.fallback)
-                if told.use_cases and case not in told.use_cases:
-                    raise ValueError(f"pools.{pool}.use_cases: {kind} is {case!r} by naming, which is not among them")
         self.routes()
         return self
 
     def routes(self):
-        """(kind, model) -> pool; raises ValueError where two pools claim one."""
+        """Returns {(kind, model): pool}; raises ValueError if two pools serve the same."""
         found = {}
-        for pool, told in self.pools.items():
-            for kind in told.kinds:
-                for model in told.models:
+        for pool, pool_settings in self.pools.items():
+            for kind in pool_settings.kinds:
+                for model in pool_settings.models:
                     if found.setdefault((kind, model), pool) != pool:
-                        raise ValueError(f"pools {found[kind, model]} and {pool} both serve {kind} by {model}")
+                        raise ValueError(f"pools {found[kind, model]} and {pool} both serve {kind} with model {model}")
         return found
--- a/ramppulley/daemon/platform/__init__.py
+++ b/ramppulley/daemon/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One router as the platform starts it: configuration, limits, wiring of its parts, reload and signals."""
+"""The router process on the platform: configuration, limits, wiring of its components, reload and signals."""
--- a/ramppulley/daemon/platform/command.py
+++ b/ramppulley/daemon/platform/command.py
@@ -1,4 +1,4 @@
-"""The command `python -m ramppulley platform`: environment, signals, exit status."""
+"""The command `python -m ramppulley platform`: environment variables, signals, exit status."""
 
 import asyncio
 import errno
@@ -14,18 +14,21 @@
 from ramppulley.daemon.platform.log import Log
 from ramppulley.daemon.platform.node import Node
 
-GC_THRESHOLDS = 5_000, 10, 20  # what is left after the start is small: collected often, it does not grow
-START_TIMEOUT_S, START_INTERVAL_S = 5.0, 0.1  # a start that the system refuses for a moment is tried again for so long
-LASTING_ERRNOS = errno.EADDRNOTAVAIL, errno.EACCES, errno.EPERM, errno.EINVAL, errno.EAFNOSUPPORT
+GC_THRESHOLDS = 5_000, 10, 20  # few objects are tracked after startup: frequent collection is cheap and bounds memory
+START_TIMEOUT_S, START_RETRY_INTERVAL_S = (
+    5.0,
+    0.1,
+)  # retries of a start that fails for lack of resources
+PERMANENT_ERRNOS = errno.EADDRNOTAVAIL, errno.EACCES, errno.EPERM, errno.EINVAL, errno.EAFNOSUPPORT
 EXIT_OK, EXIT_UNUSABLE_CONFIGURATION = 0, 2
 
 
 def main() -> int:
-    """Runs a router until a signal ends it; gives the exit status."""
+    """Runs a router until a signal stops it; returns the exit status."""
     path = os.environ.get("PROXY_CONFIG")
     try:
         if not path:
-            raise ConfigurationError("PROXY_CONFIG names no configuration")
+            raise ConfigurationError("the environment variable PROXY_CONFIG is not set")
         content = _with_environment(load_object(path))
         uvloop.run(run(path, content, Log(str(content.get("name", "router")))))
         _ignore_signals()
@@ -36,23 +39,23 @@
 
 
 def _with_environment(content: dict[str, Any]) -> dict[str, Any]:
-    """The configuration, with fields that it lacks taken from the environment."""
-    for word in ("NAME", "LISTEN", "DISCOVERY"):
-        if f"PROXY_{word}" in os.environ:
-            content.setdefault(word.lower(), os.environ[f"PROXY_{word}"])
+    """Fills missing fields of the configuration from environment variables."""
+    for suffix in ("NAME", "LISTEN", "DISCOVERY"):
+        if f"PROXY_{suffix}" in os.environ:
+            content.setdefault(suffix.lower(), os.environ[f"PROXY_{suffix}"])
     return content
 
 
 def _ignore_signals() -> None:
-    """The interpreter drops its handlers before it has ended: a late signal would change the exit status."""
+    """The interpreter removes signal handlers before it exits, so a late signal would change the exit status."""
     for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.SIG_IGN)
 
 
 async def run(path: str, content: dict[str, Any], log: Log) -> None:
-    """One router from its start to its end by SIGINT or SIGTERM; SIGHUP reloads the configuration at `path`.
+    """Runs one router until SIGINT or SIGTERM; SIGHUP reloads the configuration at `path`.
 
-    Nothing listens before the handlers stand, and they are called once all of the node is there.
+    Signal handlers are installed before the router listens, and they run only once the node is complete.
     """
     loop, stopping = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -67,15 +70,15 @@
         log.info("told to end before it had started")
         return
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    _collect_only_what_follows()
+    _exclude_startup_objects_from_gc()
     await stopping.wait()
     await node.stop()
 
 
 async def _start(node: Node, log: Log, stopping: asyncio.Event) -> bool:
-    """Starts the node, again and again where the system is short of something; raises OSError.
+    """Starts the node, with retries if the system is short of resources; raises OSError.
 
-    False where it was told to end meanwhile: nothing runs then.
+    Returns False, with nothing running, if a stop signal arrived meanwhile.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_TIMEOUT_S
@@ -86,14 +89,14 @@
         except OSError as fault:
             if stopping.is_set():
                 return False
-            if fault.errno in LASTING_ERRNOS or loop.time() > deadline:
+            if fault.errno in PERMANENT_ERRNOS or loop.time() > deadline:
                 raise
             log.warning("start is tried again", fault=fault.strerror)
-            await asyncio.sleep(START_INTERVAL_S)
+            await asyncio.sleep(START_RETRY_INTERVAL_S)
 
 
-def _collect_only_what_follows() -> None:
-    """What the start made stays, the little garbage too: no collection walks it."""
+def _exclude_startup_objects_from_gc() -> None:
+    """Excludes objects made during startup from garbage collection: they live until exit, and the garbage is small."""
     gc.freeze()
     gc.enable()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/ramppulley/daemon/platform/configuration.py
+++ b/ramppulley/daemon/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of a router on the platform: read, checked and typed before anything is made by it."""
+"""The configuration file of a router on the platform: loaded and validated before anything is created from it."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
@@ -14,29 +14,29 @@
 
 
 class ConfigurationError(Exception):
-    """A configuration that no router can be started with; its text is one line."""
+    """An invalid configuration; the message is one line."""
 
 
 class Configuration(NamedTuple):
-    """What a router is started with."""
+    """The configuration of a starting router."""
 
     listen: platform.Address
     discovery: platform.Address
     profile: Profile
     seed: int
-    descriptors: int  # that may be open at once
-    known_endpoints: platform.EndpointUpdate | None  # the list to begin with, before discovery told one
+    descriptors: int  # maximum number of open file descriptors
+    known_endpoints: platform.EndpointUpdate | None  # initial list, used until discovery sends one
 
 
 class ReloadedConfiguration(NamedTuple):
-    """What a running router takes from a configuration that was replaced."""
+    """The fields that a running router takes from a replaced configuration."""
 
     discovery: platform.Address
     profile: Profile
 
 
 def load_object(path: str) -> dict[str, Any]:
-    """The JSON object of a configuration file; raises ConfigurationError."""
+    """Loads the JSON object of a configuration file; raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
             content = platform.decode(file.read())
@@ -45,12 +45,12 @@
     except BadMessage as fault:
         raise ConfigurationError(f"configuration {path}: {fault}") from fault
     if not isinstance(content, dict):
-        raise ConfigurationError(f"configuration {path}: no object")
+        raise ConfigurationError(f"configuration {path}: not a JSON object")
     return content
 
 
 def parse_configuration(content: dict[str, Any]) -> Configuration:
-    """The configuration of a start; raises ConfigurationError."""
+    """Parses the configuration of a starting router; raises ConfigurationError."""
     try:
         fields = Fields(content, "")
         return Configuration(
@@ -66,7 +66,7 @@
 
 
 def parse_reloaded(content: dict[str, Any], current: Profile) -> ReloadedConfiguration:
-    """A configuration that replaces another; without settings, the `current` ones stay in force.
+    """Parses a replaced configuration; without settings, the `current` ones stay in force.
 
     Raises ConfigurationError, SettingError or BadMessage.
     """
@@ -78,15 +78,15 @@
 
 
 def parse_profile(settings: object) -> Profile:
-    """The settings as a router on sockets uses them; raises SettingError.
+    """Parses the settings for a router on sockets; raises SettingError.
 
-    On sockets classes, tenants, kinds and zones go by their names, so each needs one of its own.
+    On sockets, classes, tenants, kinds and zones are identified by name, so each needs a unique name.
     """
     profile = Profile(settings)
     if not profile.kinds:
         raise SettingError("settings.Kinds is missing")
     if not profile.connect_within:
-        raise SettingError("settings.Bounds.ConnectTimeoutS: a number over 0 is needed")
+        raise SettingError("settings.Bounds.ConnectTimeoutS: must be greater than 0")
     _check_names((f"settings.Lanes[{i}].Name", name) for i, name in enumerate(profile.class_names))
     _check_names((f"settings.Tenants[{i}].Name", name) for i, name in enumerate(profile.tenant_names))
     _check_names((f"settings.Kinds[{i}]", name) for i, name in enumerate(profile.kinds))
@@ -95,18 +95,18 @@
 
 
 def _check_names(named_fields: Iterable[tuple[str, str]]) -> None:
-    """`named_fields`: (field, name) of each; raises SettingError for an empty name and for one that was used before."""
+    """Raises SettingError for an empty or duplicate name. `named_fields`: (field, name) pairs."""
     known = set()
     for field, name in named_fields:
         if not name:
             raise SettingError(f"{field} is missing")
         if name in known:
-            raise SettingError(f"{field}: {name[:MAX_SHOWN_NAME_LENGTH]!r} is named twice")
+            raise SettingError(f"{field}: {name[:MAX_SHOWN_NAME_LENGTH]!r} is used twice")
         known.add(name)
 
 
 def _field_reader(parse: Callable[[Any], T]) -> Reader[T]:
-    """A reader of a field (see `Fields.at`) whose value `parse` can read; what it cannot read is raised as SettingError."""
+    """Returns a field reader (see `Fields.at`) that uses `parse` and turns its errors into SettingError."""
 
     def read_field(name: str, value: Any) -> T:
         try:
--- a/ramppulley/daemon/platform/failures.py
+++ b/ramppulley/daemon/platform/failures.py
@@ -1,4 +1,4 @@
-"""The platform's request book: nothing is kept, and a failed request that was sent to a worker becomes one log line."""
+"""The event log on the platform: keeps nothing, and logs one line per failed request that was sent to a worker."""
 
 from ramppulley.daemon.platform.log import Log
 from ramppulley.service.clock import TENTHS, LoopClock
@@ -9,7 +9,7 @@
 
 
 class FailureLog:
-    """Logs each request that was attempted and not completed, at most `max_lines_per_s` lines a second."""
+    """Logs each request that was attempted but not completed, at most `max_lines_per_s` lines a second."""
 
     def __init__(self, log: Log, clock: LoopClock, max_lines_per_s: int = MAX_LINES_PER_S) -> None:
         self.log, self.clock, self.max_lines_per_s = log, clock, max_lines_per_s
@@ -17,13 +17,13 @@
         self.lines_this_second = 0
 
     def add(self, record: QuestionRecord) -> None:
-        """Takes the record of a request after its last outcome; the core calls it as it would a record book."""
+        """Receives the record of a finished request; the core calls it like an event log."""
         if record.how in (COMPLETED, CLIENT_LEFT) or not record.sends:
             return
-        if self._may_write():
+        if self._within_rate_limit():
             self._write(record)
 
-    def _may_write(self) -> bool:
+    def _within_rate_limit(self) -> bool:
         second = self.clock.now() // TENTHS
         if second != self.current_second:
             self.current_second, self.lines_this_second = second, 0
@@ -46,11 +46,11 @@
 
 
 def _attempt_text(attempt: SendRecord, taken: int) -> str:
-    """One attempt: its worker, its begin and end in milliseconds after the request was taken, its outcome."""
+    """One attempt: worker, start and end in milliseconds after the request was accepted, outcome."""
     begin_ms, end_ms = (attempt.start - taken) // 10, (attempt.end - taken) // 10
     return f"{attempt.worker} {begin_ms}..{end_ms} ms {attempt.outcome} ({attempt.why})"
 
 
 def _kv_text(event: KvEvent, taken: int) -> str:
-    """One step of its KV state, in milliseconds after the request was taken."""
+    """One KV state event, in milliseconds after the request was accepted."""
     return f"{(event.at - taken) // 10} ms {event.what} {event.worker}".rstrip()
--- a/ramppulley/daemon/platform/housekeeping.py
+++ b/ramppulley/daemon/platform/housekeeping.py
@@ -1,4 +1,4 @@
-"""What a router on the platform does periodically: idle connections expire, garbage is collected, sizes are logged."""
+"""Periodic tasks of a router on the platform: expires idle connections, collects garbage, logs sizes."""
 
 import asyncio
 import gc
@@ -18,10 +18,10 @@
     log: Log,
     sizes: Callable[[], Mapping[str, object]],
 ) -> None:
-    """Runs until it is cancelled.
+    """Runs until cancelled.
 
-    `check` looks after requests whose timers were lost, `expire_idle` closes connections to workers that were idle for
-    long. The log line has what `sizes` gives, and how late the loop ran at most since the last one.
+    `check` handles requests whose timers were lost, `expire_idle` closes worker connections that have been idle for long.
+    The log line contains `sizes()` and the maximum delay of the event loop since the previous line.
     """
     loop, max_late_s, rounds = asyncio.get_running_loop(), 0.0, 0
     while True:
@@ -32,10 +32,10 @@
             check()
             if rounds % ROUNDS_PER_EXPIRY == 0:
                 expire_idle()
-        except Exception:  # never without housekeeping
+        except Exception:  # housekeeping must go on whatever happens
             log.exception("fault in the housekeeping")
         if rounds % ROUNDS_PER_COLLECTION == 0:
-            gc.collect()  # cycles that outlived the first rounds: what is left is small
+            gc.collect()  # cycles that survived the younger generations; few objects remain, so it is cheap
         if rounds % ROUNDS_PER_LOG_LINE == 0:
             log.info("holds", **sizes(), late_ms=round(max_late_s * 1000))
             max_late_s = 0.0
--- a/ramppulley/daemon/platform/log.py
+++ b/ramppulley/daemon/platform/log.py
@@ -1,4 +1,4 @@
-"""The log of the router on the platform: plain lines on standard error, which never hold the router up."""
+"""The log of the router on the platform: plain lines on standard error, written without blocking."""
 
 import os
 import select
@@ -6,15 +6,15 @@
 import time
 from typing import TextIO
 
-MAX_LINE_BYTES = 4096  # so many a pipe takes whole or not at all, without a wait, once it is writable (PIPE_BUF)
+MAX_LINE_BYTES = 4096  # PIPE_BUF: a writable pipe accepts this many bytes atomically without blocking
 
 
 class Log:
     """Writes one line per event: time, router, level, event, then its fields as key=value.
 
-    A line that cannot be written now is lost, and counted in the next one that is written: whoever reads the log may be
-    slow or gone, and a disk may be full. structlog is not used here: it would add to the CPU and memory of a start, both of
-    which are bounded.
+    A line that cannot be written immediately is dropped and counted in the next line, since the reader of the log may be
+    slow or gone, or the disk full. structlog is not used because it would add to CPU and memory at startup, both of which
+    are bounded.
     """
 
     def __init__(self, name: str, stream: TextIO = sys.stderr) -> None:
@@ -32,7 +32,7 @@
         self._write_line("error", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """As `error`, with the traceback of the exception that is being handled."""
+        """Like `error`, with the traceback of the exception being handled."""
         import traceback
 
         self._write_line("error", event, fields | {"trace": repr(traceback.format_exc())})
@@ -48,14 +48,14 @@
             self.lost_lines += 1
 
     def _write(self, line: str) -> bool:
-        """Whether it was written."""
+        """Writes a line without blocking; whether it was written."""
         try:
             if self._descriptor is None:
                 print(line, file=self.stream, flush=True)
                 return True
             return self._write_bytes(self._descriptor, line.encode(errors="replace"))
         except (OSError, ValueError):
-            return False  # nobody reads the log, or it is closed: no task may end by that
+            return False  # the log has no reader or is closed; that must not end a task
 
     @staticmethod
     def _write_bytes(descriptor: int, line: bytes) -> bool:
@@ -68,7 +68,7 @@
 
 
 def _descriptor_of(stream: TextIO) -> int | None:
-    """The stream's own, which is written past its buffer: what a full disk refused must not wait there. None without one."""
+    """The stream's file descriptor, or None. Writing to it bypasses the buffer, where a full disk leaves data behind."""
     try:
         stream.flush()
         return stream.fileno()
--- a/ramppulley/daemon/platform/node.py
+++ b/ramppulley/daemon/platform/node.py
@@ -1,6 +1,6 @@
-"""One router on the platform: its parts wired together, its reload and its shutdown.
+"""One router on the platform: wiring of its components, reload and shutdown.
 
-It imports no more than this path needs, since its memory and CPU are bounded.
+Imports only what this command needs, since its memory and CPU are bounded.
 """
 
 import asyncio
@@ -34,15 +34,15 @@
 from ramppulley.wire import platform
 from ramppulley.wire.faults import BadMessage
 
-ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections still come for so long
-FIRST_LIST_TIMEOUT_S = 1.2  # a start waits so long for discovery's answer before it is ready by the known list
-SHUTDOWN_TIMEOUT_S = 600.0  # for requests that were taken; the platform ends the process before that
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections are still accepted for this long after SIGTERM
+FIRST_LIST_TIMEOUT_S = 1.2  # wait for discovery before the router is ready with the known list
+SHUTDOWN_TIMEOUT_S = 600.0  # for accepted requests; the platform kills the process earlier
 
 
 class Node:
-    """What one configuration asks for; `start`, `reload` and `stop` are its life.
+    """A router made from one configuration, with `start`, `reload` and `stop`.
 
-    `make_router` makes the decision module. Raises ConfigurationError.
+    `make_router` creates the routing policy. Raises ConfigurationError.
     """
 
     def __init__(self, content: dict[str, Any], log: Log, make_router: Callable[..., Any] = Router) -> None:
@@ -50,14 +50,14 @@
         self.profile = self.configuration.profile
         self.limits = divide_descriptors(self.configuration.descriptors)
         self.log, self.make_router = log, make_router
-        self.endpoints_known = False  # whether there is a list to go by
-        self._states: WeakKeyDictionary[door.Endpoint, str] = WeakKeyDictionary()  # as logged last
+        self.endpoints_known = False  # whether a list of workers has been received
+        self._logged_states: WeakKeyDictionary[door.Endpoint, str] = WeakKeyDictionary()  # last logged state
         self._ready_logged = False
 
     async def start(self) -> Self:
-        """Awaits nothing, so that no signal meets half a node.
+        """Does not await, so that no signal handler sees a partly started node.
 
-        Raises OSError where its address cannot be listened on; nothing runs then, and it may be called again.
+        Raises OSError if its address cannot be listened on; nothing runs then, and `start` may be called again.
         """
         loop = asyncio.get_running_loop()
         self.clock = LoopClock(loop)
@@ -125,37 +125,37 @@
         )
 
     def _is_ready(self) -> bool:
-        """Whether there is a list to go by, and discovery has told its own, is not there, or has had its time: the known
-        list may be old."""
+        """Whether there is a list of workers, and discovery has sent one, failed, or exceeded FIRST_LIST_TIMEOUT_S. It waits
+        for discovery because the known list may be stale."""
         self.watch.read_now()
         now = asyncio.get_running_loop().time()
-        asked_at = now if self.watch.asked_at is None else self.watch.asked_at
-        answered = self.watch.has_told or self.watch.has_failed or now - asked_at >= FIRST_LIST_TIMEOUT_S
+        requested_at = now if self.watch.requested_at is None else self.watch.requested_at
+        answered = self.watch.has_update or self.watch.has_failed_call or now - requested_at >= FIRST_LIST_TIMEOUT_S
         ready = self.endpoints_known and answered
         if ready and not self._ready_logged:
             self._ready_logged = True
             self.log.info(
                 "ready",
-                list="told" if self.watch.has_told else "known",
+                list="told" if self.watch.has_update else "known",
                 after_ms=round((now - self._listening_since) * 1000),
                 seq=self.endpoints.seq,
             )
         return ready
 
     def _tenants(self) -> dict[str, int]:
-        """Numbers of the tenants by their names; a request that names none has no share."""
+        """Tenant numbers by name; a request without a tenant has no share."""
         return {name: i for i, name in enumerate(self.profile.tenant_names)}
 
     def _max_requests(self) -> int:
-        """How many requests may be open at once."""
+        """Maximum number of open requests."""
         return min(self.profile.max_requests or self.limits.clients, self.limits.max_requests)
 
     def _on_update(self, update: platform.EndpointUpdate) -> None:
-        """An endpoint update, from the configuration or from discovery."""
+        """Handles an endpoint update from the configuration or from discovery."""
         self._apply(self.endpoints.update(update, self.clock.now(), int(time.time() * 1000)))
 
     def _apply(self, changed: list[ListedEndpoint]) -> None:
-        """Brings changed endpoints, each with its address, to the connections and to the decision module."""
+        """Passes changed endpoints and their addresses to the connections and to the routing policy."""
         self._log_states(changed)
         for endpoint, address in changed:
             self.engines.set_address(endpoint, address)
@@ -166,17 +166,17 @@
             self.core.endpoints_changed([listed.endpoint for listed in changed])
 
     def _log_states(self, changed: list[ListedEndpoint]) -> None:
-        """A line for each known worker whose state is another one now, by the name that the list gives it."""
+        """Logs a line for each known worker whose state changed, under its name in the list."""
         for endpoint, _ in changed:
-            before = self._states.get(endpoint)
-            if before is not None and before != endpoint.state:
+            previous = self._logged_states.get(endpoint)
+            if previous is not None and previous != endpoint.state:
                 name = self.endpoints.workers.ids.get(endpoint)
-                self.log.info("endpoint", host=name, change=f"{before}->{endpoint.state}", seq=self.endpoints.seq)
-            self._states[endpoint] = endpoint.state
+                self.log.info("endpoint", host=name, change=f"{previous}->{endpoint.state}", seq=self.endpoints.seq)
+            self._logged_states[endpoint] = endpoint.state
 
     def reload(self, path: str) -> None:
-        """The configuration was replaced: settings and discovery's address are taken from it, all else stays as at the
-        start. One that cannot be used changes nothing; one without settings leaves those in force."""
+        """Applies settings and the discovery address of a replaced configuration; all else stays as at startup. An invalid
+        configuration changes nothing; one without settings leaves the current ones in force."""
         try:
             new = parse_reloaded(load_object(path), self.profile)
         except (ConfigurationError, SettingError, BadMessage) as fault:
@@ -189,11 +189,11 @@
             self._configure(new.profile)
         if new.discovery != self.watch.address:
             self.watch.move(new.discovery)
-        elif new_kinds:  # entries of kinds that had no name here were passed over
+        elif new_kinds:  # entries of kinds that had no name before were skipped
             self.watch.restart()
 
     def _configure(self, profile: Profile) -> None:
-        """Requests that come from now on go by these settings, in one turn of the loop; those in flight keep theirs."""
+        """Applies settings to new requests in one loop iteration; requests in flight keep theirs."""
         self.profile = profile
         self.engines.configure(profile)
         self.front.configure(profile, self._max_requests())
@@ -202,7 +202,7 @@
         self._apply(self.endpoints.configure(profile))
 
     def sizes(self) -> dict[str, object]:
-        """All that could grow, for the log."""
+        """Sizes of everything that could grow, for the log."""
         router = self.core.router
         return {
             "open": len(self.front.open_requests),
@@ -225,9 +225,9 @@
         } | self.core.audit.sizes()
 
     async def stop(self, accept_s: float = ACCEPT_AFTER_SIGTERM_S, timeout_s: float = SHUTDOWN_TIMEOUT_S) -> None:
-        """Shuts down in order: requests that still come, then answers to all that were taken, then what is held.
+        """Shuts down in order: accepts late requests, answers all accepted ones, then releases KV state.
 
-        New requests are taken for `accept_s` seconds; those taken get `timeout_s` seconds.
+        New requests are accepted for `accept_s` seconds; accepted ones get `timeout_s` seconds.
         """
         self.log.info("stops", open=len(self.front.open_requests))
         await self.front.stop(accept_s, timeout_s)
--- a/ramppulley/fleet/__init__.py
+++ b/ramppulley/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The list of workers: its file, its checks, and its changes as the decision module is told them."""
+"""The list of workers: loading, validation, and the changes that are passed to the routing policy."""
--- a/ramppulley/fleet/listing.py
+++ b/ramppulley/fleet/listing.py
@@ -1,4 +1,4 @@
-"""The list as data: entries checked, and compared with what was known. Pure; the file is read by `fleet.watch`."""
+"""Validates the list of workers and compares it with the previous one. No I/O; `fleet.watch` reads the file."""
 
 from typing import Literal
 from urllib.parse import urlsplit
@@ -10,12 +10,12 @@
 from ramppulley import door
 from ramppulley.service.clock import StartAges
 
-TENTHS = 10_000
-GONE_RETENTION = 30 * TENTHS  # a worker that comes back within this is the same one
+TENTHS_PER_S = 10_000
+GONE_RETENTION = 30 * TENTHS_PER_S  # a worker that returns within this time is treated as the same one
 
 
 class Entry(BaseModel):
-    """One worker. `started`: seconds since 1970 of its process's start; absent = long ago."""
+    """One worker. `started`: Unix time in seconds at which its process started; if absent, it has been running for long."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
     name: str = Field(min_length=1, max_length=128)
@@ -34,7 +34,7 @@
     def _url(cls, value):
         parts = urlsplit(value)
         if parts.scheme != "http" or not parts.hostname or not parts.port:
-            raise ValueError("must look like http://HOST:PORT")
+            raise ValueError("must have the form http://HOST:PORT")
         return value
 
     @property
@@ -44,7 +44,7 @@
 
 
 class Listing(BaseModel):
-    """The whole file."""
+    """The content of the file."""
 
     model_config = ConfigDict(extra="forbid")
     workers: list[Entry]
@@ -61,32 +61,32 @@
 
 
 class Fleet:
-    """Boxes by name; `update` brings them to a new list and tells what changed, by pool."""
+    """Endpoints by name; `update` applies a new list and returns what changed, with the pool of each change."""
 
     def __init__(self):
         self.endpoints, self.entries, self.gone_since = {}, {}, {}  # by name
-        self.names = WeakKeyDictionary()  # by box, as long as anybody knows it
+        self.names = WeakKeyDictionary()  # by endpoint, as long as it is referenced elsewhere
         self.ages = StartAges()
 
     def name_of(self, endpoint):
         return self.names.get(endpoint, "?")
 
-    def update(self, entries, now, wall):
-        """`now`: the router's clock; `wall`: seconds since 1970 at that moment. Returns [(pool, box, address)].
+    def update(self, entries, now, wall_s):
+        """Returns [(pool, endpoint, address)] of the changes. `now`: router clock; `wall_s`: Unix time at that moment.
 
-        A worker that is not listed any more is gone; one that moved to another pool is a new worker there.
+        A worker that is no longer listed is gone; one with another pool or role becomes a new worker.
         """
         changed, listed = [], set()
-        self.ages.observe(now, int(wall * 1000))
+        self.ages.observe(now, int(wall_s * 1000))
         for entry in entries:
             listed.add(entry.name)
-            old = self.entries.get(entry.name)
-            if old is not None and (old.pool, old.role) != (entry.pool, entry.role):
+            previous = self.entries.get(entry.name)
+            if previous is not None and (previous.pool, previous.role) != (entry.pool, entry.role):
                 endpoint = self.endpoints.pop(entry.name)
                 endpoint.state = "gone"
-                changed.append((old.pool, endpoint, old.address))
-                old = None
-            if entry == old and self.endpoints[entry.name].state == entry.state:
+                changed.append((previous.pool, endpoint, previous.address))
+                previous = None
+            if entry == previous and self.endpoints[entry.name].state == entry.state:
                 continue
             endpoint = self.endpoints.get(entry.name)
             if endpoint is None:
@@ -100,9 +100,9 @@
                 self.names[endpoint] = entry.name
             endpoint.cell, endpoint.zone = crc32(entry.cell.encode()), crc32(entry.zone.encode())
             endpoint.memory, endpoint.weight, endpoint.state = entry.memory_tokens, entry.weight, entry.state
-            if old is None or old.started != entry.started:
-                born = None if entry.started is None else now - self._age(entry.started, now, wall)
-                endpoint.born = born if born is None else born or -1
+            if previous is None or previous.started != entry.started:
+                started_at = None if entry.started is None else now - self._age(entry.started, now, wall_s)
+                endpoint.born = started_at if started_at is None else started_at or -1
             self.entries[entry.name] = entry
             changed.append((entry.pool, endpoint, entry.address))
         for name, entry in self.entries.items():
@@ -113,11 +113,11 @@
         self._forget_gone(now)
         return changed
 
-    def _age(self, started, now, wall):
-        return self.ages.age_ms(int(started * 1000), now, int(wall * 1000)) * (TENTHS // 1000)
+    def _age(self, started, now, wall_s):
+        return self.ages.age_ms(int(started * 1000), now, int(wall_s * 1000)) * (TENTHS_PER_S // 1000)
 
     def _forget_gone(self, now):
-        """Keeps nothing of workers that have been gone for long."""
+        """Drops workers that have been gone for GONE_RETENTION."""
         for name, endpoint in list(self.endpoints.items()):
             if endpoint.state != "gone":
                 self.gone_since.pop(name, None)
--- a/ramppulley/fleet/platform/__init__.py
+++ b/ramppulley/fleet/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's list of workers: its watch and its changes."""
+"""The platform's list of workers: discovery watch and list updates."""
--- a/ramppulley/fleet/platform/json_lines.py
+++ b/ramppulley/fleet/platform/json_lines.py
@@ -1,39 +1,43 @@
-"""The watch's answer as JSON texts: one for each update, which may be indented over many lines."""
+"""Splits the response of the watch into JSON texts, one per update; a text may be indented over many lines."""
 
 import re
 from collections.abc import Iterator
 
 from ramppulley.wire.faults import TooLarge
 
-MAX_TEXT_BYTES = 2 << 20  # 3,200 workers, indented, with long names; nonsense of that size takes 60 MB for a moment
-STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"?')  # one without its end, too: no text is looked at twice
+MAX_TEXT_BYTES = (
+    2 << 20
+)  # fits 3,200 workers, indented, with long names; invalid input of this size briefly takes 60 MB
+STRING = re.compile(
+    rb'"[^"\\]*(?:\\.[^"\\]*)*"?'
+)  # also matches an unterminated string, so that no text is scanned twice
 
 
 class JsonTextSplitter:
-    """Bytes of the answer in, whole JSON texts out, empty ones for empty lines. A text may be indented."""
+    """Turns response bytes into complete JSON texts, with an empty text for each empty line. Texts may be indented."""
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []  # of a text that is not whole yet
-        self.pieces: list[bytes] = []  # of a line that is not whole yet
-        self.size, self.depth = 0, 0  # bytes of the text; brackets that are open behind its last whole line
+        self.lines: list[bytes] = []  # of the incomplete text
+        self.pieces: list[bytes] = []  # of the incomplete line
+        self.size, self.depth = 0, 0  # bytes of the text; open brackets after its last complete line
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The texts that are whole with these bytes; raises TooLarge."""
+        """Yields the texts that these bytes complete; raises TooLarge."""
         for number, piece in enumerate(data.split(b"\n")):
             if number and (text := self._end_line()) is not None:
                 yield text
             self.pieces.append(piece)
             self.size += len(piece)
         if self.size > MAX_TEXT_BYTES:
-            raise TooLarge("a text of the list is too long")
+            raise TooLarge("an update of the list is too large")
 
     def end(self) -> Iterator[bytes]:
-        """After the end of a whole answer: its last text needs no line end."""
+        """Yields the last text of a complete response, which needs no line end."""
         if b"".join(self.pieces).strip():
             yield from self.feed(b"\n")
 
     def _end_line(self) -> bytes | None:
-        """The text, where it is whole with this line."""
+        """Returns the text if this line completes it, else None."""
         line = b"".join(self.pieces).strip()
         without_strings = STRING.sub(b"", line)
         self.depth += without_strings.count(b"{") + without_strings.count(b"[")
--- a/ramppulley/fleet/platform/list_call.py
+++ b/ramppulley/fleet/platform/list_call.py
@@ -1,4 +1,4 @@
-"""One call of discovery: the bytes of its answer, read as they come or at the very moment at which they are needed."""
+"""One HTTP call to discovery, whose response is read as it arrives or on demand, before a decision needs it."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,34 +10,34 @@
 from ramppulley.wire.sockets import Transport, connect
 
 
-class ReadingDeadline:
-    """Ends a connection at a time that can be put off; what its peer had sent by then is still read.
+class ReadDeadline:
+    """Shuts a connection down at a time that can be postponed; bytes that the peer sent before that are still read.
 
-    A time-out that cancels the receive loses the bytes that were taken from the socket in the same turn of the loop.
+    A timeout that cancels the receive would lose bytes taken from the socket in the same event loop iteration.
     """
 
     def __init__(self, connection: Transport, when: float) -> None:
-        self.connection, self.passed = connection, False
-        self.timer = connection.loop.call_at(when, self._pass)
+        self.connection, self.expired = connection, False
+        self.timer = connection.loop.call_at(when, self._expire)
 
-    def put_off(self, when: float) -> None:
-        """Another deadline in place of this one, unless it has passed."""
+    def postpone(self, when: float) -> None:
+        """Replaces the deadline, unless it has expired."""
         self.timer.cancel()
-        if not self.passed:
-            self.timer = self.connection.loop.call_at(when, self._pass)
+        if not self.expired:
+            self.timer = self.connection.loop.call_at(when, self._expire)
 
-    def clear(self) -> None:
-        """The connection ends otherwise."""
+    def disarm(self) -> None:
+        """Cancels the timer: the connection ends for another reason."""
         self.timer.cancel()
 
-    def _pass(self) -> None:
-        self.passed = True
+    def _expire(self) -> None:
+        self.expired = True
         self.connection.shutdown_read()
         self.connection.shutdown_write()
 
 
 class CallTimeouts(Protocol):
-    """Bounds of one call, in seconds."""
+    """Timeouts of one call, in seconds."""
 
     @property
     def connect_s(self) -> float: ...
@@ -48,104 +48,104 @@
 
 
 class ListCall:
-    """One call and its answer. `on_line(call, text)` gets each whole line, an empty one too.
+    """One call and its response. `on_line(call, text)` gets each complete text, also an empty one.
 
-    Until it is read, what discovery has written stays in the socket. `read_now` reads it for whoever must know it before
-    this call's own task has its turn.
+    What discovery has written stays in the socket buffer until it is read. `read_now` reads it for callers that need it
+    before this call's own task runs.
     """
 
     def __init__(self, address: platform.Address, on_line: Callable[["ListCall", bytes], None]) -> None:
         self.address, self.on_line = address, on_line
-        self.connection: Transport | None = None  # while there is one
+        self.connection: Transport | None = None  # None until connected
         self.parser, self.texts = http.AnswerParser(MAX_TEXT_BYTES), JsonTextSplitter()
-        self.task: asyncio.Task[None] | None = None  # that follows it
-        self.over: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # done once nothing more is read
-        self.reason = ""  # why it is over
-        self._ended = False  # no further bytes are read
-        self._fault: Exception | None = None  # that ended it, for its own task
-        self._deadline: ReadingDeadline | None = None
+        self.task: asyncio.Task[None] | None = None  # that runs `follow`
+        self.finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # done once reading has ended
+        self.end_reason = ""
+        self._ended = False  # set when no further bytes are to be read
+        self._fault: Exception | None = None  # error that ended the call, raised in its own task
+        self._deadline: ReadDeadline | None = None
         self._silence_s = 0.0
         self._reading = False
 
-    async def follow(self, timeouts: CallTimeouts, on_asked: Callable[[], None]) -> None:
-        """Calls, and reads till the answer ends; raises OSError, TimeoutError or BadMessage for any other end."""
+    async def follow(self, timeouts: CallTimeouts, on_request_sent: Callable[[], None]) -> None:
+        """Sends the request and reads until the response ends; raises OSError, TimeoutError or BadMessage otherwise."""
         first_line_at = asyncio.get_running_loop().time() + timeouts.slow_line_s
         connection = await connect(*self.address, timeouts.connect_s)
         self._silence_s = timeouts.silence_s
-        self._deadline = ReadingDeadline(connection, first_line_at)
+        self._deadline = ReadDeadline(connection, first_line_at)
         self.connection = connection
         await connection.send(self._request())
-        on_asked()
+        on_request_sent()
         while not self._ended:
             await connection.readable.wait()
             self.read_now()
         if self._fault is not None:
             raise self._fault
-        if self._deadline.passed:
-            raise TimeoutError("no whole line in time")
+        if self._deadline.expired:
+            raise TimeoutError("no complete line before the timeout")
 
     def _request(self) -> bytes:
-        """from=0: the whole list, at once. Any other version may be one of another history (discovery moved, or began
-        anew) in which nothing follows it, though all is different."""
+        """Asks with from=0 for the whole list at once. Another version may belong to another history (discovery moved or
+        restarted), in which nothing follows it although the list differs."""
         host, port = self.address
         return http.request("GET", f"{platform.LIST}?watch=1&from=0", {"host": f"{host}:{port}"})
 
     def cancel(self) -> None:
-        """It is not needed any more: nothing that it brings is handed on."""
+        """Stops the call; none of its further data is delivered."""
         self._ended = True
         if self.task is not None and self.task is not asyncio.current_task():
             self.task.cancel()
 
     def close(self) -> None:
-        """The end of its task."""
+        """Releases the connection when the task of the call ends."""
         self._ended = True
         if self._deadline is not None:
-            self._deadline.clear()
+            self._deadline.disarm()
         if self.connection is not None:
             self.connection.close()
         self.parser.close()
-        if not self.over.done():
-            self.over.set_result(None)
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     def read_now(self) -> None:
-        """Takes over all that has been written by now. Raises nothing: a fault is for the call's own task."""
+        """Processes all that has arrived. Raises nothing: an error is raised in the call's own task."""
         connection = self.connection
         if self._reading or self._ended or connection is None:
             return
         self._reading = True
         try:
             while not self._ended and (data := connection.receive_nowait()) is not None:
-                self._take(data)
-        except Exception as fault:  # whoever asks is not to be ended by it
+                self._process(data)
+        except Exception as fault:  # the caller must not fail because of it
             self._fault, self._ended = fault, True
         finally:
             self._reading = False
         if self._ended:
             connection.readable.wake()
 
-    def _take(self, data: bytes) -> None:
-        """The next bytes; b"" at the end."""
+    def _process(self, data: bytes) -> None:
+        """Processes received bytes; b"" means end of stream."""
         if not data:
             self._ended = True
         elif self._parse(data) and self._deadline is not None:
-            self._deadline.put_off(asyncio.get_running_loop().time() + self._silence_s)
+            self._deadline.postpone(asyncio.get_running_loop().time() + self._silence_s)
         self._ended = self._ended or self.parser.done
 
     def _parse(self, data: bytes) -> bool:
-        """Hands on the lines that are whole with these bytes, also those before a fault; whether there was one."""
-        fault, any_line = None, False
+        """Delivers the lines that these bytes complete, also those before an error; whether there was any line."""
+        fault, got_line = None, False
         try:
             self.parser.feed(data)
-        except BadMessage as met:
-            fault = met
+        except BadMessage as error:
+            fault = error
         if self.parser.status not in (0, 200):
-            raise BadMessage(f"status {self.parser.status}")
+            raise BadMessage(f"discovery answered with status {self.parser.status}")
         for text in self.texts.feed(self.parser.take()):
             self.on_line(self, text)
-            any_line = True
+            got_line = True
         if fault is not None:
             raise fault
         if self.parser.done:
             for text in self.texts.end():
                 self.on_line(self, text)
-        return any_line
+        return got_line
--- a/ramppulley/fleet/watch.py
+++ b/ramppulley/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Watches the file of workers: a change is read, checked and told; a bad one is logged and the old list stays."""
+"""Watches the file with the list of workers; an invalid file is logged and the previous list stays in force."""
 
 import asyncio
 import os
@@ -8,21 +8,21 @@
 
 
 class Watcher:
-    """Calls `told(entries)` when the file's text changed. `read(path, model)` raises ValueError with file and line."""
+    """Calls `on_change(entries)` when the file changed. `read(path, model)` raises ValueError with file and line."""
 
-    def __init__(self, path, read, told, log, every=0.2):
-        self.path, self.read, self.told, self.log, self.every = path, read, told, log, every
-        self.seen, self.faulty, self.task = None, None, None
+    def __init__(self, path, read, on_change, log, interval_s=0.2):
+        self.path, self.read, self.on_change, self.log, self.interval_s = path, read, on_change, log, interval_s
+        self.loaded_signature, self.last_error, self.task = None, None, None
 
-    def look(self):
-        """Once: whether there was a change that could be used. Raises what `read` raises, or OSError."""
+    def reload_if_changed(self):
+        """Loads the file once if it changed; whether it did. Raises what `read` raises, or OSError."""
         stat = os.stat(self.path)
-        seen = stat.st_mtime_ns, stat.st_size, stat.st_ino
-        if seen == self.seen:
+        signature = stat.st_mtime_ns, stat.st_size, stat.st_ino
+        if signature == self.loaded_signature:
             return False
         listing = self.read(self.path, Listing)
-        self.seen = seen
-        self.told(listing.workers)
+        self.loaded_signature = signature
+        self.on_change(listing.workers)
         return True
 
     def start(self):
@@ -30,15 +30,15 @@
 
     async def _watch(self):
         while True:
-            await asyncio.sleep(self.every)
+            await asyncio.sleep(self.interval_s)
             try:
-                if self.look():
+                if self.reload_if_changed():
                     self.log.info("workers listed", file=str(self.path), at=time.time())
-                self.faulty = None
+                self.last_error = None
             except (OSError, ValueError) as fault:
-                if str(fault) != self.faulty:  # once for each fault, not five times a second
-                    self.faulty = str(fault)
-                    self.log.error("list of workers not usable, the old one stays", fault=self.faulty)
+                if str(fault) != self.last_error:  # logged once per distinct error, not at every poll
+                    self.last_error = str(fault)
+                    self.log.error("list of workers not usable, the old one stays", fault=self.last_error)
 
     async def stop(self):
         if self.task:
--- a/tests/test_unread_list.py
+++ b/tests/test_unread_list.py
@@ -110,7 +110,7 @@
         await world.start_router()
         while await readiness(world) != 200:
             await asyncio.sleep(0.02)
-        assert world.node.watch.has_told
+        assert world.node.watch.has_update
 
 
 @story
