--- a/ramppulley/__main__.py
+++ b/ramppulley/__main__.py
@@ -10,9 +10,8 @@
 if __name__ == "__main__":
     if sys.argv[1:] == ["platform"]:
         gc.disable()  # little garbage arises during startup; `run` enables collection again
-        signal.pthread_sigmask(
-            signal.SIG_BLOCK, {signal.SIGHUP}
-        )  # stays pending until the router's handler is installed
+        # SIGHUP stays pending until the router's handler is installed.
+        signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         from ramppulley.daemon.platform.command import main
 
         sys.exit(main())
--- a/ramppulley/daemon/cluster/peer_events.py
+++ b/ramppulley/daemon/cluster/peer_events.py
@@ -15,7 +15,7 @@
         self.seal = seal
         self.reserve = reserve
         self.log = log
-        self.duplicates = {}  # name -> time of the last log line about it
+        self.duplicate_logged_at = {}  # name -> time of the last log line about it
         self.stale_logged = False
 
     def log_state_changes(self):
@@ -31,15 +31,15 @@
         """Logs names that more than one router uses."""
         now = self.clock.now()
         for name in self.seal.twice:
-            if not self.duplicate(name, now):
-                cause = "another router uses this router's name" if name == self.name else "two routers use it"
+            if not self.is_duplicate(name, now):
+                cause = "another router uses this router's name" if name == self.name else "two routers use this name"
                 self.log.error("a name twice", name=name, why=cause)
-                self.duplicates[name] = now
+                self.duplicate_logged_at[name] = now
         self.seal.twice.clear()
 
-    def duplicate(self, name, now):
+    def is_duplicate(self, name, now):
         """Whether the name was reported as a duplicate within the last REPEAT_INTERVAL."""
-        return now - self.duplicates.get(name, -REPEAT_INTERVAL) < REPEAT_INTERVAL
+        return now - self.duplicate_logged_at.get(name, -REPEAT_INTERVAL) < REPEAT_INTERVAL
 
     def log_stale_snapshot(self):
         """Logs once if peers remember higher incarnations of this router than its snapshot held."""
--- a/ramppulley/daemon/cluster/status.py
+++ b/ramppulley/daemon/cluster/status.py
@@ -9,7 +9,7 @@
 def status_rows(now, members, events):
     """[name, state, incarnation, zone, machine, traffic, host, port, seconds in this state]; this router first."""
     return [_own_row(members.local)] + [
-        _row(now, member, events.duplicate(member.name, now))
+        _row(now, member, events.is_duplicate(member.name, now))
         for member in sorted(members.members.values(), key=by_name)
     ]
 
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -38,9 +38,8 @@
             if self.changed and self.subset is not None:
                 self.changed = False
                 try:
-                    results = await asyncio.to_thread(
-                        self._found, *self._seen()
-                    )  # in a thread, so that streams are not delayed
+                    # Runs in a thread, so that streams are not delayed.
+                    results = await asyncio.to_thread(self._compute_subsets, *self._subset_inputs())
                     self._apply(results)
                 except Exception:  # the whole list stays usable after a failure
                     self.log.exception("subsets not worked out")
@@ -61,7 +60,7 @@
             self.changed = True
             self.datagrams.turn()
 
-    def _seen(self):
+    def _subset_inputs(self):
         """Input of the subset computation: (this router, all routers, workers by pool, current fraction by pool)."""
         own = Peer(self.name, crc32(self.zone.encode()), 2.0**self.members.local.traffic)
         return own, [own, *self._other_routers()], self._pools(), dict(self.fractions)
@@ -83,7 +82,7 @@
                 )
         return pools
 
-    def _found(self, own, peers, pools, previous_fractions):
+    def _compute_subsets(self, own, peers, pools, previous_fractions):
         """{pool: (fraction, {endpoint id: weight in the subset})}; no weights if the whole list is used."""
         results = {}
         for pool, places in pools.items():
--- a/ramppulley/daemon/orders.py
+++ b/ramppulley/daemon/orders.py
@@ -120,9 +120,9 @@
 
 
 class Subset(Section):
-    """Limits the workers that a router normally uses, if there is more than one router."""
+    """Limits the workers that a router normally uses, if it knows other routers."""
 
-    workers_least: int = Field(12, ge=4)  # two prefill and decode pairs
+    workers_least: int = Field(12, ge=4)  # two pairs of a prefill and a decode worker
 
 
 class Restart(Section):
--- a/ramppulley/daemon/platform/command.py
+++ b/ramppulley/daemon/platform/command.py
@@ -15,10 +15,8 @@
 from ramppulley.daemon.platform.node import Node
 
 GC_THRESHOLDS = 5_000, 10, 20  # few objects are tracked after startup: frequent collection is cheap and bounds memory
-START_TIMEOUT_S, START_RETRY_INTERVAL_S = (
-    5.0,
-    0.1,
-)  # retries of a start that fails for lack of resources
+# Retries of a start that fails for lack of resources.
+START_TIMEOUT_S, START_RETRY_INTERVAL_S = 5.0, 0.1
 PERMANENT_ERRNOS = errno.EADDRNOTAVAIL, errno.EACCES, errno.EPERM, errno.EINVAL, errno.EAFNOSUPPORT
 EXIT_OK, EXIT_UNUSABLE_CONFIGURATION = 0, 2
 
--- a/ramppulley/fleet/platform/json_lines.py
+++ b/ramppulley/fleet/platform/json_lines.py
@@ -5,12 +5,10 @@
 
 from ramppulley.wire.faults import TooLarge
 
-MAX_TEXT_BYTES = (
-    2 << 20
-)  # fits 3,200 workers, indented, with long names; invalid input of this size briefly takes 60 MB
-STRING = re.compile(
-    rb'"[^"\\]*(?:\\.[^"\\]*)*"?'
-)  # also matches an unterminated string, so that no text is scanned twice
+# Fits 3,200 workers, indented, with long names; invalid input of this size briefly takes 60 MB.
+MAX_TEXT_BYTES = 2 << 20
+# Also matches an unterminated string, so that no text is scanned twice.
+STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"?')
 
 
 class JsonTextSplitter:
--- a/ramppulley/fleet/platform/watch.py
+++ b/ramppulley/fleet/platform/watch.py
@@ -118,9 +118,8 @@
             self._log_loss(fault)
             self.has_failed_call = self.has_failed_call or not got_line
             elapsed = loop.time() - started_at
-            was_stable = (
-                got_line and elapsed > TIMEOUTS.max_interval_s
-            )  # rules out a discovery that sends a list and closes, repeatedly
+            # Not stable: a discovery that repeatedly sends a list and closes.
+            was_stable = got_line and elapsed > TIMEOUTS.max_interval_s
             interval = TIMEOUTS.interval_s if was_stable else min(TIMEOUTS.max_interval_s, 2 * interval)
             pause = max(min(interval, TIMEOUTS.long_call_pause_s), interval - elapsed)
             await self._pause(pause * (0.5 + self.rng()))
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -42,14 +42,14 @@
 
 def blind():
     """Keeps the subset that it had first, whoever comes or goes."""
-    found = subset_selection.SubsetSelection._found
+    found = subset_selection.SubsetSelection._compute_subsets
 
     def once(self, *given):
         if not hasattr(self, "once_found") and given[0] is not None and len(given[1]) > 1:
             self.once_found = found(self, *given)
         return getattr(self, "once_found", None) or found(self, *given)
 
-    subset_selection.SubsetSelection._found = once
+    subset_selection.SubsetSelection._compute_subsets = once
 
 
 def grudging():
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -64,9 +64,8 @@
         for number in range(5):
             assert (await world.ask(f"q-{number}", transport))[0] == 200
             await asyncio.sleep(1.5 * MIN_IDLE_S)
-        assert (
-            world.writers[0].connections <= 2 and world.readers[0].connections <= 2
-        )  # a probe may use another connection
+        # A probe may use another connection.
+        assert world.writers[0].connections <= 2 and world.readers[0].connections <= 2
         transport.close()
 
 
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -45,7 +45,7 @@
     assert update(False, entry | {"born_ms": 8_000, "dial": "10.0.0.9:81"}, seq=7) == [(endpoint, ("10.0.0.9", 81))]
     assert (endpoint.state, endpoint.born, endpoints.seq) == ("ready", 40_000, 7)
     assert update(False, entry | {"class": "unknown"}, {"host": 3}, entry | {"host": "b", "dial": "nowhere"}) == []
-    assert [b.state for b, _ in update(True)] == ["gone"]
+    assert [changed.state for changed, _ in update(True)] == ["gone"]
     assert (
         update(False, entry)[0][0].state == "ready" and update(False, entry | {"health": "Gone"})[0][0].state == "gone"
     )
@@ -60,7 +60,7 @@
     workers = Workers(Profile(SETTINGS))
     one, two = WorkerEntry("a", "ready", 0, 0, 0, 1.0, None), WorkerEntry("b", "ready", 0, 0, 1, 1.0, None)
     workers.update([one, two], True)
-    assert [b.mark for b in workers.update([two], False)] == [workers.endpoints["b"].mark]
+    assert [changed.mark for changed in workers.update([two], False)] == [workers.endpoints["b"].mark]
     workers.update([two], True)
     assert workers.endpoints["a"].state == "gone" and workers.endpoints["b"].state == "ready"
 
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -111,14 +111,8 @@
 THIRD_PARTY_MODULES = {"httptools", "uvloop", "cython_runtime"}
 
 
-EXCLUDED_MODULES = {
-    "uuid",
-    "decimal",
-    "datetime",
-    "ipaddress",
-    "platform",
-    "urllib.parse",
-}  # modules that msgspec and quote would import
+# Modules that msgspec and quote would import.
+EXCLUDED_MODULES = {"uuid", "decimal", "datetime", "ipaddress", "platform", "urllib.parse"}
 
 
 def test_the_command_imports_only_what_it_needs():
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -60,8 +60,8 @@
     assert len(names) == len(set(names)) >= 20
 
 
-def entry(name="a", **more):
-    return Entry(**{"name": name, "url": "http://127.0.0.1:9", "pool": "p", "role": "read", **more})
+def entry(name="a", **fields):
+    return Entry(**{"name": name, "url": "http://127.0.0.1:9", "pool": "p", "role": "read", **fields})
 
 
 def test_the_list_tells_changes_drains_ends_and_new_starts():
@@ -73,7 +73,7 @@
     assert fleet.update([], 1000, 50.0)[0][1].state == "gone" and fleet.update([], 1000, 50.0) == []
     back = fleet.update([entry(started=49.5)], 1000, 50.0)[0][1]
     assert back is endpoint and back.state == "ready" and back.born == -4000
-    assert {b.state for _, b, _ in fleet.update([entry(role="write")], 1000, 50.0)} == {"gone", "ready"}
+    assert {changed.state for _, changed, _ in fleet.update([entry(role="write")], 1000, 50.0)} == {"gone", "ready"}
 
 
 def test_two_workers_of_one_name_are_refused():
@@ -97,21 +97,21 @@
 @story
 async def test_stopping_answers_what_was_taken_and_takes_no_more():
     async with Rig() as rig:
-        asked = asyncio.create_task(rig.chat("a long answer", most=40))
+        chat = asyncio.create_task(rig.chat("a long answer", most=40))
         await asyncio.sleep(0.1)
         await rig.daemon.front.stop(3.0)
-        assert (await asked).done and (await rig.chat()).fault == "ConnectionRefusedError"
+        assert (await chat).done and (await rig.chat()).fault == "ConnectionRefusedError"
 
 
-def rp(*words, **more):
+def rp(*arguments, **options):
     return subprocess.Popen(
-        [sys.executable, "-m", "ramppulley", *words],
+        [sys.executable, "-m", "ramppulley", *arguments],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
-        **more,
+        **options,
     )
 
 
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -97,9 +97,9 @@
     return client
 
 
-def begin_shutdown(world, still=0.02, within=5.0):
+def begin_shutdown(world, accept_s=0.02, timeout_s=5.0):
     """Starts the shutdown as the SIGTERM handler does."""
-    return asyncio.create_task(world.node.stop(still, within))
+    return asyncio.create_task(world.node.stop(accept_s, timeout_s))
 
 
 def attempts_of(world, name):
@@ -193,9 +193,8 @@
 
             conn.close = crossed
             stop = begin_shutdown(world) if ends_by == "shutdown" else None
-            with pytest.raises(
-                ConnectionResetError
-            ):  # neither a response nor a clean end: the client may retry elsewhere
+            # Neither a response nor a clean end: the client may retry elsewhere.
+            with pytest.raises(ConnectionResetError):
                 await client.rest()
             assert closed and world.node.core.accepted == 1 and not attempts_of(world, "q-2")
             if stop:
@@ -336,7 +335,7 @@
         await world.start_router()
         before, after = Client(world.port), Client(world.port)
         before.sock.sendall(question("q-1"))
-        stop = begin_shutdown(world, still=0.1)
+        stop = begin_shutdown(world, accept_s=0.1)
         await world.until(lambda: world.node.front.closing)
         after.sock.sendall(question("q-2"))
         for client in (before, after):
@@ -403,9 +402,8 @@
         async def read_and_break(transport):
             transport.reset()
 
-        world.readers[0].scripts.append(
-            read_and_break
-        )  # suspect for half a second, and there is no other prefill worker
+        # The worker is suspect for half a second, and there is no other prefill worker.
+        world.readers[0].scripts.append(read_and_break)
         first = asyncio.create_task(world.ask("q-1", req_deadline_ms="400"))
         await world.until(lambda: "doubted" in world.lines.text)
         client = Client(world.port)
@@ -425,7 +423,7 @@
         client, slow = Client(world.port), question("q-2")
         client.sock.sendall(slow[:-10])
         await world.until(lambda: any(c.parser.begun for c in world.node.front.new_connections.values()))
-        stop = begin_shutdown(world, still=0.1)
+        stop = begin_shutdown(world, accept_s=0.1)
         await world.until(lambda: world.node.front.stopping)
         await asyncio.sleep(0.1)
         client.sock.sendall(slow[-10:])
@@ -569,7 +567,7 @@
             worker.takes = 0.05  # so that a release takes time
         client.sock.sendall(question("q-1"))
         await barrier.reached.wait()
-        await begin_shutdown(world, within=0.05)
+        await begin_shutdown(world, timeout_s=0.05)
         assert not world.yard and not world.node.engines.has_releases()
         client.sock.close()
 
--- a/tests/test_race_watch.py
+++ b/tests/test_race_watch.py
@@ -167,9 +167,8 @@
     @story
     async def scenario():
         async with Scene() as scene:
-            text = update_line(
-                scene.entry(scene.writers[0]), whole=True
-            )  # a complete text would remove the prefill worker
+            # Complete, it would remove the prefill worker.
+            text = update_line(scene.entry(scene.writers[0]), whole=True)
             for answer in (HEAD + http.chunk(text[:-9]), http.answer(200, {}, text)[:-9], HEAD + http.chunk(text)[:-9]):
                 scene.list.fault = sends_then(answer, close)
                 scene.break_watches()
@@ -269,9 +268,8 @@
                 await scene.wait_for_call()  # the call after the silence timeout
                 await asyncio.sleep(after)
                 expected_state, health = ("draining", "Terminating") if scene.state == "ready" else ("ready", "Ready")
-                scene.list.hosts["s-r0"] = scene.entry(
-                    scene.readers[0], health
-                )  # is not sent as an update on any open watch
+                # Is not sent as an update on any open watch.
+                scene.list.hosts["s-r0"] = scene.entry(scene.readers[0], health)
                 scene.list.fault, began = None, scene.time()
                 assert await scene.wait_for_state(expected_state) - began < MAX_DELAY_S
 
@@ -485,9 +483,8 @@
                 assert endpoint.state == "ready", health
             await send_list(scene, {}, {"host": 7}, {"host": "", "health": "Gone"}, 7, None, good)
             assert endpoint.state == "ready"
-            await send_list(
-                scene, good, good | {"health": "Gone"}, good | {"class": "x"}
-            )  # of several entries for a host, the last valid one counts
+            # Of several entries for a host, the last valid one counts.
+            await send_list(scene, good, good | {"health": "Gone"}, good | {"class": "x"})
             assert endpoint.state == "gone"
             assert len(scene.list.asked) == 1 and scene.lines.text.count("passed over") == 1
 
@@ -737,9 +734,8 @@
             )
             (attempt,) = [attempt for tracked in engines.releases.running for attempt in tracked.open_attempts]
             endpoint = endpoints["s-r1"]
-            await world.until(
-                lambda: chosen.connections and attempt.stage == "queue"
-            )  # connected, but the attempt has not begun
+            # Connected, but the attempt has not begun.
+            await world.until(lambda: chosen.connections and attempt.stage == "queue")
             assert attempt.endpoint is endpoint
             listed = engines._listed_state(endpoint)
             world.list.tell(CHANGES_MEANWHILE[what](world, world.entry(chosen)), world.entry(other))
