--- a/ramppulley/daemon/asking.py
+++ b/ramppulley/daemon/asking.py
@@ -65,4 +65,4 @@
                 continue
             if page.first == first:
                 return page
-    raise NoAnswerError("no answer: is a router with this key running at that address?")
+    raise NoAnswerError("no answer: is a router with this key there?")
--- a/ramppulley/daemon/json5.py
+++ b/ramppulley/daemon/json5.py
@@ -6,12 +6,12 @@
 from pydantic import ValidationError
 
 HINTS = {
-    "extra_forbidden": "unknown field; remove it or correct its name",
+    "extra_forbidden": "no such field here; take it out or mend its name",
     "missing": "add this field",
-    "literal_error": "use one of the listed values",
+    "literal_error": "use one of the values named",
     "float_parsing": "write a number",
-    "int_parsing": "write an integer",
-    "string_type": "write a quoted string",
+    "int_parsing": "write a whole number",
+    "string_type": "write a text in quotes",
 }
 
 
--- a/ramppulley/daemon/orders.py
+++ b/ramppulley/daemon/orders.py
@@ -46,7 +46,7 @@
         if self.outer_limit_s < self.promised_s:
             raise ValueError("outer_limit_s must not be under promised_s")
         if self.effect == "receipted" and not self.window_s:
-            raise ValueError("a use case with effect 'receipted' needs window_s: how long workers remember a receipt")
+            raise ValueError("a receipted use case needs window_s: how long workers remember a receipt")
         return self
 
     def to_policy_type(self):
@@ -210,7 +210,7 @@
                 class_name = self.naming.by_kind.get(kind, self.naming.fallback)
                 if pool_settings.use_cases and class_name not in pool_settings.use_cases:
                     raise ValueError(
-                        f"pools.{pool}.use_cases: naming assigns {kind} to {class_name!r}, which is not listed"
+                        f"pools.{pool}.use_cases: {kind} is {class_name!r} by naming, which is not among them"
                     )
         self.routes()
         return self
@@ -222,5 +222,5 @@
             for kind in pool_settings.kinds:
                 for model in pool_settings.models:
                     if found.setdefault((kind, model), pool) != pool:
-                        raise ValueError(f"pools {found[kind, model]} and {pool} both serve {kind} with model {model}")
+                        raise ValueError(f"pools {found[kind, model]} and {pool} both serve {kind} by {model}")
         return found
--- a/ramppulley/daemon/platform/command.py
+++ b/ramppulley/daemon/platform/command.py
@@ -26,7 +26,7 @@
     path = os.environ.get("PROXY_CONFIG")
     try:
         if not path:
-            raise ConfigurationError("the environment variable PROXY_CONFIG is not set or empty")
+            raise ConfigurationError("PROXY_CONFIG names no configuration")
         content = _with_environment(load_object(path))
         uvloop.run(run(path, content, Log(str(content.get("name", "router")))))
         _ignore_signals()
--- a/ramppulley/daemon/platform/configuration.py
+++ b/ramppulley/daemon/platform/configuration.py
@@ -45,7 +45,7 @@
     except BadMessage as fault:
         raise ConfigurationError(f"configuration {path}: {fault}") from fault
     if not isinstance(content, dict):
-        raise ConfigurationError(f"configuration {path}: not a JSON object")
+        raise ConfigurationError(f"configuration {path}: no object")
     return content
 
 
@@ -86,7 +86,7 @@
     if not profile.kinds:
         raise SettingError("settings.Kinds is missing")
     if not profile.connect_within:
-        raise SettingError("settings.Bounds.ConnectTimeoutS: must be greater than 0")
+        raise SettingError("settings.Bounds.ConnectTimeoutS: a number over 0 is needed")
     _check_names((f"settings.Lanes[{i}].Name", name) for i, name in enumerate(profile.class_names))
     _check_names((f"settings.Tenants[{i}].Name", name) for i, name in enumerate(profile.tenant_names))
     _check_names((f"settings.Kinds[{i}]", name) for i, name in enumerate(profile.kinds))
@@ -101,7 +101,7 @@
         if not name:
             raise SettingError(f"{field} is missing")
         if name in known:
-            raise SettingError(f"{field}: {name[:MAX_SHOWN_NAME_LENGTH]!r} is used twice")
+            raise SettingError(f"{field}: {name[:MAX_SHOWN_NAME_LENGTH]!r} is named twice")
         known.add(name)
 
 
--- a/ramppulley/daemon/platform/limits.py
+++ b/ramppulley/daemon/platform/limits.py
@@ -34,7 +34,7 @@
     allowed = configured if system_limit == resource.RLIM_INFINITY else min(configured, system_limit)
     needed = RESERVED_DESCRIPTORS + MIN_CONNECTIONS
     if allowed < needed:
-        raise SettingError(f"limits.sockets: {allowed} file descriptors are allowed, at least {needed} are needed")
+        raise SettingError(f"limits.sockets: {allowed} descriptors may be open, {needed} are needed")
     return allowed
 
 
--- a/ramppulley/fleet/listing.py
+++ b/ramppulley/fleet/listing.py
@@ -34,7 +34,7 @@
     def _url(cls, value):
         parts = urlsplit(value)
         if parts.scheme != "http" or not parts.hostname or not parts.port:
-            raise ValueError("must have the form http://HOST:PORT")
+            raise ValueError("must look like http://HOST:PORT")
         return value
 
     @property
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -93,14 +93,14 @@
         same_as_kinds = ("Kinds", len(self.kinds)) if self.kinds else None
         self.roles = fields.at("Specifics.RoleByKind", list_of(one_of(ROLES), same_as_kinds))
         if not self.roles:
-            raise SettingError("settings.Specifics.RoleByKind: at least one kind of worker is required")
+            raise SettingError("settings.Specifics.RoleByKind: at least one kind of worker is needed")
         self.memory = fields.at("Specifics.MemoryTokens", list_of(number(), ("RoleByKind", len(self.roles))), [])
 
     def _read_classes(self, fields: Fields) -> None:
         """The request classes, identified by their index in the list."""
         class_list = fields.at("Lanes", objects)
         if not class_list:
-            raise SettingError("settings.Lanes: at least one request class is required")
+            raise SettingError("settings.Lanes: at least one class is needed")
         per_k, pace = (
             fields.at(f"Specifics.{field}", list_of(number(), ("Lanes", len(class_list))), []) or [0] * len(class_list)
             for field in ("AimUsPer1000PromptTokens", "TokenAimS")
@@ -305,7 +305,7 @@
 
     def _add(self, entry: WorkerEntry) -> door.Endpoint:
         if entry.kind is None:
-            raise ValueError(f"{entry.name}: the entry of a new worker must give its kind")
+            raise ValueError(f"{entry.name}: nothing is known of a new worker without its kind")
         endpoint = self.endpoints[entry.name] = door.Endpoint(
             mark=zlib.crc32(entry.name.encode()),
             role=self.profile.roles[entry.kind],
--- a/ramppulley/settings_fields.py
+++ b/ramppulley/settings_fields.py
@@ -28,7 +28,7 @@
 
     def __init__(self, values: Any, name: str = "settings") -> None:
         if not isinstance(values, dict):
-            raise SettingError(f"{name}: an object is required, not {truncated_repr(values)}")
+            raise SettingError(f"{name}: an object is needed, not {truncated_repr(values)}")
         self.values, self.name = values, name
 
     def at(self, path: str, read: Reader[T], default: Any = REQUIRED) -> T:
@@ -56,9 +56,9 @@
     def read(name: str, value: Any) -> float:
         if not _is_number(value) or not minimum <= value <= maximum or (over and value == minimum):
             bounds = f"{'over' if over else 'from'} {minimum:g} to {maximum:g}"
-            raise SettingError(f"{name}: a number {bounds} is required, not {truncated_repr(value)}")
+            raise SettingError(f"{name}: a number {bounds} is needed, not {truncated_repr(value)}")
         if whole and value != int(value):
-            raise SettingError(f"{name}: an integer is required, not {truncated_repr(value)}")
+            raise SettingError(f"{name}: a whole number is needed, not {truncated_repr(value)}")
         return cast(float, value)
 
     return read
@@ -71,14 +71,14 @@
 def boolean(name: str, value: Any) -> bool:
     """Reads true or false."""
     if not isinstance(value, bool):
-        raise SettingError(f"{name}: true or false is required, not {truncated_repr(value)}")
+        raise SettingError(f"{name}: true or false is needed, not {truncated_repr(value)}")
     return value
 
 
 def string(name: str, value: Any) -> str:
     """Reads a string."""
     if not isinstance(value, str):
-        raise SettingError(f"{name}: a string is required, not {truncated_repr(value)}")
+        raise SettingError(f"{name}: a text is needed, not {truncated_repr(value)}")
     return value
 
 
@@ -87,7 +87,7 @@
 
     def read(name: str, value: Any) -> str:
         if not isinstance(value, str) or value not in choices:
-            raise SettingError(f"{name}: {truncated_repr(value)} is not supported, only {', '.join(choices)}")
+            raise SettingError(f"{name}: {truncated_repr(value)} has no meaning here, only {', '.join(choices)}")
         return value
 
     return read
@@ -109,9 +109,9 @@
 
     def read_all(name: str, value: Any) -> list[T]:
         if not isinstance(value, list):
-            raise SettingError(f"{name}: a list is required, not {truncated_repr(value)}")
+            raise SettingError(f"{name}: a list is needed, not {truncated_repr(value)}")
         if same_length and value and len(value) != same_length[1]:
-            raise SettingError(f"{name}: {len(value)} entries, but {same_length[1]} in {same_length[0]}")
+            raise SettingError(f"{name}: {len(value)} entries for {same_length[1]} of {same_length[0]}")
         return [read(f"{name}[{i}]", entry) for i, entry in enumerate(value)]
 
     return read_all
--- a/ramppulley/wire/http.py
+++ b/ramppulley/wire/http.py
@@ -113,12 +113,12 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as fault:
-            raise BadMessage("protocol upgrades are not supported") from fault
+            raise BadMessage("upgrades are not spoken here") from fault
         except httptools.HttpParserError as fault:
             raise (self._fault or BadMessage(str(fault).strip("'\""))) from fault
         # llhttp reports a header field only when it is complete, so an endless one is found by the bytes fed.
         if self._head.in_head and self._fed_bytes > 2 * MAX_HEAD_BYTES:
-            raise TooLarge(f"the header section exceeds {MAX_HEAD_BYTES} bytes", 431)
+            raise TooLarge(f"the head is over {MAX_HEAD_BYTES} bytes", 431)
 
     def on_message_begin(self) -> None:
         self._head, self._target, self._body_bytes, self._fed_bytes = _HeadState(), b"", 0, 0
@@ -136,24 +136,22 @@
     def _count_head_bytes(self, by: int) -> None:
         self._head.size += by
         if self._head.size > MAX_HEAD_BYTES or len(self._head.headers) > MAX_HEADER_FIELDS:
-            self._fail(
-                TooLarge(f"the header section exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADER_FIELDS} fields", 431)
-            )
+            self._fail(TooLarge(f"the head is over {MAX_HEAD_BYTES} bytes or {MAX_HEADER_FIELDS} fields", 431))
 
     def on_headers_complete(self) -> None:
         self._head.in_head = False
         headers = self._head.headers
         if "host" in headers and "," in headers["host"]:
-            self._fail(BadMessage("more than one Host header field"))
+            self._fail(BadMessage("more than one Host"))
         length = headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.max_body_bytes:
-            self._fail(TooLarge(f"the body exceeds {self.max_body_bytes} bytes", 413))
+            self._fail(TooLarge(f"the body is over {self.max_body_bytes} bytes", 413))
         self.wants_continue = headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, body: bytes) -> None:
         self._body_bytes += len(body)
         if self._body_bytes > self.max_body_bytes:
-            self._fail(TooLarge(f"the body exceeds {self.max_body_bytes} bytes", 413))
+            self._fail(TooLarge(f"the body is over {self.max_body_bytes} bytes", 413))
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -189,20 +187,20 @@
     def feed(self, data: bytes) -> None:
         """Raises BadMessage or TooLarge."""
         if self.done:
-            raise BadMessage("bytes after the end of the response")
+            raise BadMessage("bytes after the end of the answer")
         if self._head.in_head:
             self._head.size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as fault:
-            raise BadMessage("protocol upgrade that was not requested") from fault
+            raise BadMessage("an upgrade was not asked for") from fault
         except httptools.HttpParserError as fault:
             if self.done:
                 self.keep_alive = False
                 return
             raise (self._fault or BadMessage(str(fault).strip("'\""))) from fault
         if self._head.in_head and self._head.size > MAX_HEAD_BYTES:
-            raise TooLarge("the response's header section is too large", 502)
+            raise TooLarge("the answer's head is too large", 502)
 
     def take(self) -> bytes:
         """The body bytes that arrived since the last call."""
@@ -228,14 +226,14 @@
         self.status, self.headers = status, self._head.headers
         chunked = "chunked" in self.headers.get("transfer-encoding", "").lower()
         if "content-length" not in self.headers and not chunked and status not in (204, 304):
-            self._fail(BadMessage("the response has neither Content-Length nor chunked encoding"))
+            self._fail(BadMessage("the answer has neither a length nor chunks"))
 
     def on_body(self, body: bytes) -> None:
         if self.done:
             return
         self._waiting_bytes += len(body)
         if self._waiting_bytes > self.max_body_bytes:
-            self._fail(TooLarge(f"the response body exceeds {self.max_body_bytes} bytes", 502))
+            self._fail(TooLarge(f"the answer is over {self.max_body_bytes} bytes", 502))
         self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
@@ -246,7 +244,7 @@
 def _header_lines(headers: Mapping[str, object]) -> Iterator[str]:
     for name, value in headers.items():
         if "\r" in str(value) or "\n" in str(value):
-            raise BadMessage(f"line break in header field {name}")
+            raise BadMessage(f"a line break in the field {name}")
         yield f"{name}: {value}\r\n"
 
 
--- a/ramppulley/wire/platform.py
+++ b/ramppulley/wire/platform.py
@@ -48,7 +48,7 @@
     4800
     """
     if not DIGITS.fullmatch(text):
-        raise BadMessage(f"{what}: an integer is required, not {text[:40]!r}")
+        raise BadMessage(f"{what}: a whole number is needed, not {text[:40]!r}")
     return int(text)
 
 
@@ -61,10 +61,10 @@
     """
     name, request_class = headers.get(ID, ""), headers.get(CASE, "")
     if not NAME.fullmatch(name):
-        raise BadMessage(f"{ID}: 1 to 128 letters, digits and characters of ._:- are required")
+        raise BadMessage(f"{ID}: a name of 1 to 128 letters and digits is needed")
     deadline_ms = number(headers.get(LIMIT, ""), LIMIT)
     if not deadline_ms:
-        raise BadMessage(f"{LIMIT}: the deadline has already passed")
+        raise BadMessage(f"{LIMIT}: the time is up")
     hint_us = number(headers[COST_HINT], COST_HINT) if COST_HINT in headers else None
     return RequestHeaders(
         name,
@@ -97,7 +97,7 @@
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise ValueError(f"not a JSON number: {text}")
+    raise ValueError(f"no number of JSON: {text}")
 
 
 _decoder = json.JSONDecoder(parse_float=_parse_finite, parse_constant=_reject_constant)
@@ -117,7 +117,7 @@
     except ValueError as fault:
         raise BadMessage(str(fault)) from fault
     except RecursionError as fault:
-        raise BadMessage("JSON is nested too deeply") from fault
+        raise BadMessage("nested too deep") from fault
 
 
 def figures(text: str | bytes | None) -> dict[str, Any] | None:
@@ -201,7 +201,7 @@
     except (OSError, ValueError):
         port = ""
     if not DIGITS.fullmatch(port) or not 0 < int(port) < 65536:
-        raise BadMessage(f"not an IP address with a port: {text!r:.60}")
+        raise BadMessage(f"no address: {text!r:.60}")
     return Address(host, int(port))
 
 
--- a/ramppulley/wire/sockets.py
+++ b/ramppulley/wire/sockets.py
@@ -112,7 +112,7 @@
 
     def _buffer_view(self) -> memoryview:
         if self.closed:
-            raise ConnectionResetError("the connection was closed locally")
+            raise ConnectionResetError("closed here")
         if self._view is None:
             self._view = memoryview(bytearray(MIN_BUFFER_BYTES))
         return self._view
@@ -129,7 +129,7 @@
     async def send(self, data: bytes) -> None:
         """Returns once the kernel has accepted all bytes."""
         if self.closed:
-            raise ConnectionResetError("the connection was closed locally")
+            raise ConnectionResetError("closed here")
         self._pending_calls += 1
         try:
             await self.loop.sock_sendall(self.sock, data)
--- a/ramppulley/wire/sse.py
+++ b/ramppulley/wire/sse.py
@@ -26,7 +26,7 @@
     >>> blocks.last()
     b': x'
     >>> blocks.feed(b"data: 5\\n\\nnoise\\n\\n"), blocks.fault
-    (b'data: 5\\n\\n', BadMessage('malformed server-sent event'))
+    (b'data: 5\\n\\n', BadMessage('what came in the stream is no event'))
     """
 
     def __init__(self, max_event_bytes: int = 64 << 10) -> None:
@@ -39,19 +39,19 @@
         for end in _event_ends(whole):
             event = whole[begin:end].lstrip(b"\r\n")
             if event and not event.startswith(FIELDS):
-                self.fault = BadMessage("malformed server-sent event")
+                self.fault = BadMessage("what came in the stream is no event")
                 break
             if event:
                 begin = end
         self.rest = whole[begin:]
         if self.fault is None and len(self.rest) > self.max_event_bytes:
-            self.fault = TooLarge(f"an event exceeds {self.max_event_bytes} bytes", 502)
+            self.fault = TooLarge(f"an event is over {self.max_event_bytes} bytes", 502)
         return whole[:begin]
 
     def last(self) -> bytes:
         """The remainder at the end of the stream: comments and blank lines. Raises BadMessage if it is part of an event."""
         if any(line and not line.startswith(b":") for line in self.rest.splitlines()):
-            raise BadMessage("the stream ended in the middle of an event")
+            raise BadMessage("the stream ended within an event")
         rest, self.rest = self.rest, b""
         return rest
 
@@ -84,7 +84,7 @@
         events = BLANK_LINE.split(whole) if b"\r" in whole else whole.split(b"\n\n")
         self.rest = events.pop()
         if len(self.rest) > self.max_event_bytes:
-            raise TooLarge(f"an event exceeds {self.max_event_bytes} bytes", 502)
+            raise TooLarge(f"an event is over {self.max_event_bytes} bytes", 502)
         found = []
         for event in events:
             lines = [line[5:].removeprefix(b" ") for line in event.splitlines() if line.startswith(b"data:")]
