--- a/ramppulley/engines/__init__.py
+++ b/ramppulley/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Engines out: connections, the read/write split, load reports, and what each way to end a send proves."""
+"""Engine connectors: connections, the prefill/decode split, load reports, and the outcome of each way an attempt ends."""
--- a/ramppulley/engines/attempts.py
+++ b/ramppulley/engines/attempts.py
@@ -1,6 +1,6 @@
-"""What every connector does alike: one task for each attempt, from its wait for a connection to its one End.
+"""Common base of the engine connectors: one task per attempt, from its wait for a connection to its single result.
 
-A connector says how a request looks (`_build_request`) and what a response means (`_read_response`).
+Subclasses build the request (`_build_request`) and interpret the response (`_read_response`).
 """
 
 import asyncio
@@ -26,64 +26,64 @@
 from ramppulley.wire.faults import BadMessage
 from ramppulley.wire.sockets import Transport
 
-SETTLE_TIMEOUT_S = 1.0  # cancelled attempts and the releases behind them get so long before `close`
+SETTLE_TIMEOUT_S = 1.0  # limit of `settle` for cancelled attempts and the releases that follow them
 SETTLE_POLL_S = 0.005
-GONE_RETENTION_S = 30.0  # what is kept for a worker that is gone: what it holds may still be released there
-MAX_CALL_BODY_BYTES = 1 << 20  # of the response to a control call
+GONE_RETENTION_S = 30.0  # a worker that is gone is kept this long: its KV state may still be released
+MAX_CALL_BODY_BYTES = 1 << 20  # of a control call's response
 _STAGES: list[str] = list(Stage)
 
 Address = tuple[str, int]
 
 
 class AttemptEndedError(Exception):
-    """Carries the End of an attempt out of its stages."""
+    """Ends an attempt with `result` from within any of its stages."""
 
-    def __init__(self, end: AttemptResult) -> None:
-        super().__init__(end.reason)
-        self.end = end
+    def __init__(self, result: AttemptResult) -> None:
+        super().__init__(result.reason)
+        self.result = result
 
 
 class ListedState(NamedTuple):
-    """What the endpoint list says of a worker, as far as it decides whether an attempt may go there."""
+    """The endpoint list's view of a worker, as far as it decides whether an attempt may be sent there."""
 
     state: str
-    born: int | None
+    incarnation: int | None
     address: Address
 
 
 class Worker:
-    """What a connector keeps for one worker."""
+    """A connector's state for one worker."""
 
     def __init__(
         self, address: Address, max_connections: int, idle_timeout_s: float, budget: ConnectionBudget | None
     ) -> None:
         self.address = address
-        self.gone_since: float | None = None  # by the clock of the event loop
-        self.extensions: frozenset[str] = frozenset()  # of the protocol, that it has announced
+        self.gone_since: float | None = None  # event loop time
+        self.extensions: frozenset[str] = frozenset()  # protocol extensions that the worker has announced
         self.connections = ConnectionPool(*address, max_connections, idle_timeout_s, budget)
 
 
 @dataclass(eq=False, slots=True)
 class AttemptRun:
-    """What a running attempt holds: its parser, and its connection while it has one."""
+    """The resources of a running attempt: its parser, and its connection while it has one."""
 
     connections: ConnectionPool
     parser: http.AnswerParser
     transport: Transport | None = None
-    reusable: bool = False  # the connection, once the attempt has ended
-    short_of_time: bool = False  # it has less time than a connect may take
+    reusable: bool = False  # whether the connection may be used again after the attempt
+    deadline_limits_connect: bool = False  # the time left is shorter than the connect timeout
 
     def close(self) -> None:
-        """Gives the connection back."""
+        """Returns the connection to the pool, or discards it."""
         self.parser.close()
         if self.transport is not None:
             (self.connections.release if self.reusable else self.connections.discard)(self.transport)
 
 
 class BaseConnector:
-    """All workers by their boxes. `budget` bounds the open connections to all of them."""
+    """Connections to all workers, by endpoint. `budget` bounds the connections open to all of them together."""
 
-    max_body_bytes = 1 << 20  # of a response that wait to be taken
+    max_body_bytes = 1 << 20  # of a response, buffered in the parser
 
     def __init__(
         self,
@@ -98,10 +98,12 @@
         self.workers: dict[door.Endpoint, Worker] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
         self.closing = False
-        self.refresh_list: Callable[[], None] = lambda: None  # reads what discovery has written by now
+        self.refresh_list: Callable[[], None] = lambda: (
+            None
+        )  # applies endpoint list updates that have arrived but are unread
 
     def set_address(self, endpoint: door.Endpoint, address: Address) -> None:
-        """A worker's address. Another one than before closes the old connections; closed ones are replaced by a new pool."""
+        """Sets a worker's address. A changed address closes the old connections; a closed pool is replaced by a new one."""
         worker = self.workers.get(endpoint)
         if worker is None or worker.address != address or worker.connections.closed:
             if worker:
@@ -109,22 +111,24 @@
             self.workers[endpoint] = Worker(address, self.max_connections, self.idle_timeout_s, self.budget)
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """How long an idle connection is kept from now on, also one that is idle already."""
+        """Sets the idle timeout, also for connections that are idle already."""
         self.idle_timeout_s = seconds
         for worker in self.workers.values():
             worker.connections.idle_timeout_s = seconds
 
     def expire_idle(self) -> None:
-        """Closes the connections that have been idle for too long, and forgets workers that have been gone for long; to be
-        called now and then."""
+        """Closes connections past their idle timeout and forgets workers gone for longer than GONE_RETENTION_S.
+
+        To be called periodically.
+        """
         for worker in self.workers.values():
             worker.connections.expire_idle()
         for endpoint in [
-            endpoint for endpoint, worker in self.workers.items() if self._gone_for_long(endpoint, worker)
+            endpoint for endpoint, worker in self.workers.items() if self._gone_past_retention(endpoint, worker)
         ]:
             self.workers.pop(endpoint).connections.close()
 
-    def _gone_for_long(self, endpoint: door.Endpoint, worker: Worker) -> bool:
+    def _gone_past_retention(self, endpoint: door.Endpoint, worker: Worker) -> bool:
         if endpoint.state != "gone":
             worker.gone_since = None
             return False
@@ -134,14 +138,14 @@
         return now - worker.gone_since >= GONE_RETENTION_S
 
     def has_releases(self) -> bool:
-        """Whether KV state that workers hold is about to be released."""
+        """Whether releases of KV state are pending or running."""
         raise NotImplementedError
 
     async def settle(self, cores: Iterable[Any]) -> None:
-        """Waits for attempts and releases, before `close` and once all requests have ended.
+        """Waits for open attempts and releases to finish; called once all requests have ended, before `close`.
 
-        A cancelled attempt may have left a KV state, whose release is owed some turns of the loop later and then takes a
-        call to a worker.
+        A cancelled attempt may have left KV state. Its release is scheduled a few event loop iterations later and then
+        takes a call to a worker.
         """
         try:
             async with asyncio.timeout(SETTLE_TIMEOUT_S):
@@ -150,10 +154,10 @@
                 ):
                     await asyncio.sleep(SETTLE_POLL_S)
         except TimeoutError:
-            self.log.warning("releases that no worker took in time, or that might be repeated, are given up")
+            self.log.warning("gave up releases that no worker confirmed in time or that may need repeating")
 
     async def close(self) -> None:
-        """Cancels what still runs and closes all connections."""
+        """Cancels all running tasks and closes all connections."""
         self.closing = True
         for task in set(self.tasks):
             task.cancel()
@@ -167,24 +171,26 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    # Connector
+    # The Connector interface
     def start(self, core: Any, attempt: EngineAttempt) -> None:
-        """Begins an attempt; its End is reported to `core`."""
+        """Starts an attempt; its result is reported to `core`."""
         attempt.stage, attempt.listed_state = Stage.QUEUE, self._listed_state(attempt.endpoint)
-        attempt.connections = self._pool_of(attempt.endpoint)  # a worker that is chosen is listed
+        attempt.connections = self._pool_of(attempt.endpoint)  # a chosen worker is always listed
         attempt.task = self._spawn(self._run_attempt(core, attempt))
-        attempt.task.add_done_callback(lambda task: self._attempt_ended(core, attempt, self._end_of(attempt, task)))
+        attempt.task.add_done_callback(
+            lambda task: self._attempt_ended(core, attempt, self._result_of_task(attempt, task))
+        )
 
     def cancel(self, attempt: EngineAttempt) -> None:
-        """Ends an attempt; its End is reported as any other."""
+        """Cancels an attempt; its result is reported like any other."""
         attempt.task.cancel()
 
-    # For connectors
-    def _attempt_ended(self, core: Any, attempt: EngineAttempt, end: AttemptResult) -> None:
-        core.attempt_ended(attempt, end)
+    # Hooks and helpers for subclasses
+    def _attempt_ended(self, core: Any, attempt: EngineAttempt, result: AttemptResult) -> None:
+        core.attempt_ended(attempt, result)
 
     async def _before_first_byte(self, attempt: EngineAttempt) -> None:
-        """Waits for what must be over before this attempt's first byte."""
+        """Waits for whatever must finish before this attempt's first byte is written."""
 
     def _build_request(self, attempt: EngineAttempt, connections: ConnectionPool) -> bytes:
         raise NotImplementedError
@@ -197,14 +203,14 @@
         timeout: asyncio.Timeout,
         parser: http.AnswerParser,
     ) -> tuple[AttemptResult, bool]:
-        """(End, whether the connection may be used again)."""
+        """Returns the attempt's result and whether the connection may be used again."""
         raise NotImplementedError
 
-    def _outcome_of_corrupt(self, attempt: EngineAttempt) -> str:
-        """What a response that cannot be read proves."""
+    def _outcome_of_corrupt_response(self, attempt: EngineAttempt) -> str:
+        """The outcome of a response that cannot be parsed."""
         return outcome_of(max(attempt.stage, Stage.WAIT, key=_STAGES.index), Failure.CORRUPT)
 
-    async def _guarded(self, call: Awaitable[Any], on_failure: Callable[[], Any]) -> None:
+    async def _call_with_timeout(self, call: Awaitable[Any], on_failure: Callable[[], Any]) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await call
@@ -212,9 +218,9 @@
             on_failure()
 
     async def _exchange(self, transport: Transport, request: bytes) -> http.AnswerParser:
-        """One control call: the parser of its whole response.
+        """Performs one control call and returns the parser of its complete response.
 
-        Raises BadMessage, or OSError where the connection ends first.
+        Raises BadMessage, or OSError if the connection ends first.
         """
         parser = http.AnswerParser(MAX_CALL_BODY_BYTES)
         try:
@@ -222,42 +228,44 @@
             while not parser.done:
                 data = await transport.receive()
                 if not data:
-                    raise ConnectionResetError(errno.ECONNRESET, "the connection ended")
+                    raise ConnectionResetError(
+                        errno.ECONNRESET, "the connection closed before the response was complete"
+                    )
                 parser.feed(data)
         finally:
             parser.close()
         return parser
 
     # One attempt
-    def _end_of(self, attempt: EngineAttempt, task: asyncio.Task[AttemptResult]) -> AttemptResult:
+    def _result_of_task(self, attempt: EngineAttempt, task: asyncio.Task[AttemptResult]) -> AttemptResult:
         if task.cancelled():
-            return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "withdrawn")
+            return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "cancelled by the router")
         error = task.exception()
-        if error is not None:  # our own; as we cannot tell how far it came, it may have run
+        if error is not None:  # a bug in the router: its progress is unknown, so the request may have run
             self.log.error("connector fault", question=attempt.tracked.request.name, error=repr(error))
-            return AttemptResult(door.FAULT, f"a fault in the router: {error!r}")
+            return AttemptResult(door.FAULT, f"internal router error: {error!r}")
         return task.result()
 
     def _listed_state(self, endpoint: door.Endpoint) -> ListedState | None:
-        """None for a worker that was gone for long."""
+        """None for a worker that was forgotten after being gone."""
         worker = self.workers.get(endpoint)
         return None if worker is None else ListedState(endpoint.state, endpoint.born, worker.address)
 
     def _pool_of(self, endpoint: door.Endpoint) -> ConnectionPool:
-        """Raises ConnectionRefusedError for a worker that was gone for long."""
+        """Raises ConnectionRefusedError for a worker that was forgotten after being gone."""
         worker = self.workers.get(endpoint)
         if worker is None:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "the worker is gone")
         return worker.connections
 
     def _final_check(self, core: Any, attempt: EngineAttempt) -> AttemptResult | None:
-        """The End of an attempt that must not begin any more. No wait lies between this and the first byte."""
+        """The result of an attempt that may no longer start, else None. Nothing is awaited from here to the first byte."""
         refusal = permission.may_begin_attempt(
             AttemptFacts(
                 client_gone=attempt.tracked.sink.gone(),
                 answered=attempt.tracked.final_answer is not None or attempt.cancelled,
                 worker_changed=self._listed_state(attempt.endpoint)
-                != attempt.listed_state,  # it drains, is gone, began anew or moved
+                != attempt.listed_state,  # draining, gone, restarted or moved
                 window_over=core.repeat_window_over(attempt),
                 remaining=core.remaining_timeout(attempt),
             )
@@ -270,22 +278,22 @@
         return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), refusal)
 
     async def _run_attempt(self, core: Any, attempt: EngineAttempt) -> AttemptResult:
-        """One attempt from its wait for a connection to its End; raises only faults of our own and CancelledError."""
+        """Runs an attempt from its wait for a connection to its result; raises only CancelledError and internal errors."""
         run = AttemptRun(attempt.connections, http.AnswerParser(self.max_body_bytes))
         try:
             async with asyncio.timeout(core.remaining_timeout(attempt) / TENTHS) as timeout:
-                transport = await self._write_on_a_connection(core, attempt, run)
-                end, run.reusable = await self._read_response(core, attempt, transport, timeout, run.parser)
-                return end
+                transport = await self._send_request(core, attempt, run)
+                result, run.reusable = await self._read_response(core, attempt, transport, timeout, run.parser)
+                return result
         except AttemptEndedError as ended:
-            return ended.end
-        except (BadMessage, OSError) as error:  # also TimeoutError
-            return self._end_of_error(attempt, run, error)
+            return ended.result
+        except (BadMessage, OSError) as error:  # OSError includes TimeoutError
+            return self._result_of_error(attempt, run, error)
         finally:
             run.close()
 
-    async def _write_on_a_connection(self, core: Any, attempt: EngineAttempt, run: AttemptRun) -> Transport:
-        """Writes the request, on another connection where an idle one turned out unusable; raises AttemptEndedError."""
+    async def _send_request(self, core: Any, attempt: EngineAttempt, run: AttemptRun) -> Transport:
+        """Writes the request, retrying on another connection if an idle one was unusable; raises AttemptEndedError."""
         connections = run.connections
 
         def on_capacity() -> None:
@@ -293,20 +301,20 @@
 
         while True:
             time_left_s = core.remaining_timeout(attempt) / TENTHS
-            run.short_of_time = time_left_s < self.connect_timeout_s
+            run.deadline_limits_connect = time_left_s < self.connect_timeout_s
             transport = run.transport = await connections.acquire(
                 min(self.connect_timeout_s, time_left_s), on_capacity, min_idle_s=_min_idle_s(attempt)
             )
-            attempt.stage = Stage.QUEUE  # what ends it from here to its first byte says nothing of the worker
+            attempt.stage = Stage.QUEUE  # a failure from here to the first byte is not the worker's
             await self._before_first_byte(attempt)
-            self.refresh_list()  # before the time is read: a long list takes some to parse
+            self.refresh_list()  # before reading the clock: parsing a long list takes time
             attempt.remaining = core.remaining_timeout(attempt)
             request = self._build_request(attempt, connections)
-            end = self._final_check(core, attempt)
-            if end is not None:
+            result = self._final_check(core, attempt)
+            if result is not None:
                 connections.release_unused(transport)
                 run.transport = None
-                raise AttemptEndedError(end)
+                raise AttemptEndedError(result)
             attempt.stage = Stage.WRITE
             if await self._write(transport, request):
                 attempt.stage = Stage.WAIT
@@ -315,11 +323,12 @@
             run.transport, attempt.stage = None, Stage.QUEUE
 
     async def _write(self, transport: Transport, request: bytes) -> bool:
-        """Writes the request; False where the connection turned out unusable before the last byte was written.
+        """Writes the request; returns False if the connection was unusable before the last byte was written.
 
-        What is there by then on a connection that was idle cannot be the answer to this request: it is a second answer
-        to an earlier one, or the connection's end. No worker begins a request without its last byte, so that it may be
-        written again on another connection. A new connection has no earlier request: what it does is its worker's.
+        Data or EOF that is readable by then on a reused connection cannot be the response to this request: it is a second
+        response to an earlier one, or the close of the connection. No worker starts a request before its last byte, so
+        the request may be written again on another connection. A new connection had no earlier request, so anything
+        that it delivers is attributed to its worker.
         """
         was_idle = transport.idle_before_use_s is not None
         if not was_idle:
@@ -331,20 +340,20 @@
             if permission.may_write_last_byte(facts) is not None:
                 return permission.may_repeat_write(facts) is not None
             await transport.send(request[-1:])
-        except OSError:  # also of the last byte: it was not taken
+        except OSError:  # also while writing the last byte: the kernel did not accept it
             return False
         return True
 
-    def _end_of_error(self, attempt: EngineAttempt, run: AttemptRun, error: Exception) -> AttemptResult:
-        """What an error in an attempt proves of its worker."""
+    def _result_of_error(self, attempt: EngineAttempt, run: AttemptRun, error: Exception) -> AttemptResult:
+        """The result for an attempt that failed with this error."""
         if isinstance(error, BadMessage):
-            return AttemptResult(self._outcome_of_corrupt(attempt), str(error))
+            return AttemptResult(self._outcome_of_corrupt_response(attempt), str(error))
         if isinstance(error, TimeoutError):
-            ours = run.short_of_time and attempt.stage == Stage.CONNECT
-            failure = Failure.CANCELLED if ours else Failure.TIMED_OUT
-            return AttemptResult(outcome_of(attempt.stage, failure), f"timed out, {attempt.stage}")
+            limited_by_deadline = run.deadline_limits_connect and attempt.stage == Stage.CONNECT
+            failure = Failure.CANCELLED if limited_by_deadline else Failure.TIMED_OUT
+            return AttemptResult(outcome_of(attempt.stage, failure), f"timed out in stage {attempt.stage}")
         reason = getattr(error, "strerror", None)
-        if isinstance(error, ConnectionLimitError):  # ours, before a byte went out
+        if isinstance(error, ConnectionLimitError):  # a local limit, before any byte was written
             return AttemptResult(door.STALE, f"{attempt.stage}: {reason}")
         return AttemptResult(
             outcome_of(attempt.stage, Failure.LOST), f"{attempt.stage}: {reason or error}{_idle_note(run.transport)}"
@@ -352,13 +361,13 @@
 
 
 def _idle_note(transport: Transport | None) -> str:
-    """How long a lost connection had been idle before its use, for the log."""
+    """For the log: how long a lost connection had been idle before this use."""
     if transport is None or transport.idle_before_use_s is None:
         return ""
-    return f", after {transport.idle_before_use_s * 1000:.0f} ms at rest"
+    return f", after {transport.idle_before_use_s * 1000:.0f} ms idle"
 
 
 def _min_idle_s(attempt: EngineAttempt) -> float:
-    """How long a connection must have been idle for this attempt: longer where a wrong answer would have it run twice."""
+    """Idle time required of a reused connection: longer where a mistaken response would make the request run twice."""
     unsafe = not attempt.is_prefill and attempt.tracked.view.use_case.effect != "pure"
     return MIN_IDLE_UNSAFE_S if unsafe else MIN_IDLE_S
--- a/ramppulley/engines/connections.py
+++ b/ramppulley/engines/connections.py
@@ -1,6 +1,6 @@
-"""Pools of connections to workers, one for each worker, under one budget for all.
+"""Connection pools, one per worker, under a common budget.
 
-A connection stays open after a whole answer, is used again, and is closed once it has been idle for long.
+A connection is kept open for reuse after a complete response and closed once it exceeds the idle timeout.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 
 MAX_CONNECTIONS_PER_WORKER = 512
 IDLE_TIMEOUT_S = 10.0
-# Time without a byte after an answer before its connection is used again: a second answer that comes late must not be
-# taken for that of the next request. Longer where that request may not run twice: an answer that says that it never ran
-# would have it sent again.
+# Minimum idle time after a response before the connection is reused: a late second response must not be mistaken for the
+# response to the next request. Longer for unsafe requests, which must not run twice: a stray response that says "never
+# ran" would cause a retry.
 MIN_IDLE_S, MIN_IDLE_UNSAFE_S = 0.02, 0.5
-LOCAL_ERRNOS = (  # say nothing of the worker
+LOCAL_ERRNOS = (  # failures of this host, not of the worker
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
@@ -30,21 +30,21 @@
 
 
 class ConnectionLimitError(OSError):
-    """This process may not open one more connection."""
+    """This process cannot open another connection."""
 
 
 class IdleConnection(NamedTuple):
-    """An open connection that nobody uses, and since when by the clock of the event loop."""
+    """An idle connection and the event loop time since which it has been idle."""
 
     transport: Transport
     since: float
 
 
 class ConnectionBudget:
-    """Bounds the connections to all workers that are open at once; at the bound, the one idle longest is evicted.
+    """Bounds the open connections to all workers; at the limit, the connection that has been idle longest is evicted.
 
-    `reserved` of them are for control calls (probes, releases) alone: KV state has to be released also while requests use
-    all others. `idle` maps idle connections, the longest idle first, to their pools.
+    `reserved` of them are usable only by control calls (probes, releases), so that KV state can be released while requests
+    use all the others. `idle` maps idle connections to their pools, longest idle first.
     """
 
     def __init__(self, max_open: int, reserved: int = 0) -> None:
@@ -52,12 +52,12 @@
         self.idle: dict[Transport, ConnectionPool] = {}
 
     def check_request_capacity(self) -> None:
-        """Raises ConnectionLimitError where a request may not use one more connection, new or idle."""
+        """Raises ConnectionLimitError if requests may not use another connection, new or idle."""
         if self.open - len(self.idle) >= self.max_open - self.reserved:
             raise ConnectionLimitError(errno.EMFILE, "all connections to workers are in use")
 
     def acquire(self) -> None:
-        """Counts one more open connection; raises ConnectionLimitError."""
+        """Counts a connection about to be opened, evicting an idle one at the limit; raises ConnectionLimitError."""
         if self.open >= self.max_open:
             if not self.idle:
                 raise ConnectionLimitError(errno.EMFILE, "all connections to workers are in use")
@@ -66,14 +66,14 @@
         self.open += 1
 
     def release(self) -> None:
-        """Counts one open connection less."""
+        """Counts a closed connection."""
         self.open -= 1
 
 
 class ConnectionPool:
-    """Connections to one address, at most `max_connections` in use; a handshake counts in its attempt's own time.
+    """Connections to one address, at most `max_connections` in use; the handshake counts toward the attempt's timeout.
 
-    It owns every connection that it opened: after `close` none is kept, and those in use are closed once released.
+    The pool owns every connection it opened: `close` closes the idle ones, and those in use are closed on release.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
     ) -> None:
         self.host, self.port, self.idle_timeout_s = host, port, idle_timeout_s
         self.budget = budget or ConnectionBudget(max_connections + 1)
-        self.idle: deque[IdleConnection] = deque()  # the longest idle first
-        self.opened = 0  # ever
-        self.reserved: Transport | None = None  # kept open for control calls, which then need no handshake
+        self.idle: deque[IdleConnection] = deque()  # longest idle first
+        self.opened = 0  # total over the life of the pool
+        self.reserved: Transport | None = None  # kept open so that control calls need no handshake
         self.closed = False
         self._capacity = asyncio.Semaphore(max_connections)
 
@@ -99,11 +99,11 @@
         control: bool = False,
         min_idle_s: float = MIN_IDLE_S,
     ) -> Transport:
-        """An idle or a new connection; to be given back by `release`, `release_unused` or `discard`.
+        """Returns an idle or a new connection; give it back with `release`, `release_unused` or `discard`.
 
-        `on_capacity` is called once the wait for one of `max_connections` is over. `control`: for a control call, which
-        may use the reserved part of the budget. `min_idle_s`: idle time that a connection must have to be used again.
-        Raises OSError, or TimeoutError after `connect_timeout_s` of connecting.
+        `on_capacity` is called once the wait for one of `max_connections` is over. `control` marks a control call, which
+        may use the reserved part of the budget. `min_idle_s` is the idle time required to reuse a connection.
+        Raises OSError, or TimeoutError if connecting takes longer than `connect_timeout_s`.
         """
         await self._capacity.acquire()
         try:
@@ -122,10 +122,10 @@
             raise
 
     def _take_idle(self, min_idle_s: float) -> Transport | None:
-        """The reusable connection used last, as the others may expire; evicts those that turn out unusable.
+        """Takes the most recently used connection, so that the others can expire; evicts those found unusable.
 
-        A connection that its peer closes right after its answer looks usable for a moment, and so does one on which a
-        second answer comes: for `min_idle_s` none is taken, as a new connection costs less.
+        A connection that the peer closes right after its response, or on which it sends a second response, looks usable
+        for a moment. None is reused before `min_idle_s`, since a new connection costs less than that mistake.
         """
         loop = asyncio.get_running_loop()
         while candidates := [idle for idle in self.idle if loop.time() - idle.since >= min_idle_s]:
@@ -161,7 +161,7 @@
         transport.close()
 
     async def acquire_reserved(self, connect_timeout_s: float) -> Transport:
-        """The reserved connection if it is free and usable, else as `acquire`; raises as `acquire`."""
+        """Returns the reserved connection if it is free and usable, else falls back to `acquire`; raises as `acquire`."""
         await self._capacity.acquire()
         transport, self.reserved = self.reserved, None
         if transport is not None and transport.is_quiet():
@@ -172,7 +172,7 @@
         return await self.acquire(connect_timeout_s)
 
     def release_reserved(self, transport: Transport) -> None:
-        """After a whole answer on what `acquire_reserved` gave."""
+        """Gives back a connection from `acquire_reserved` after a complete response."""
         if self.reserved is None and not self.closed:
             self.reserved = transport
             self._capacity.release()
@@ -180,7 +180,7 @@
             self.release(transport)
 
     async def open_reserved(self, connect_timeout_s: float) -> None:
-        """Opens the reserved connection if there is none; after a failure the next call tries again."""
+        """Opens the reserved connection if there is none; on failure, the next call retries."""
         if self.reserved is not None and self.reserved.is_quiet():
             return
         if self.reserved is not None:
@@ -197,12 +197,12 @@
             self._close(transport)
 
     def release(self, transport: Transport) -> None:
-        """After a whole answer that keeps the connection open."""
+        """Gives back a connection after a complete response that keeps it open."""
         transport.last_used_at = asyncio.get_running_loop().time()
         self._return_idle(transport)
 
     def release_unused(self, transport: Transport) -> None:
-        """Nothing was written to it: to its worker it has been idle since its last use."""
+        """Gives back a connection on which nothing was written: to the worker it has been idle since its last use."""
         self._return_idle(transport)
 
     def _return_idle(self, transport: Transport) -> None:
@@ -214,19 +214,19 @@
         self.budget.idle[transport] = self
 
     def discard(self, transport: Transport) -> None:
-        """After anything else: a reset is also how an attempt is cancelled."""
+        """Resets a connection that cannot be reused; this also cancels the attempt on it."""
         transport.reset()
         self._close(transport)
         self._capacity.release()
 
     def expire_idle(self) -> None:
-        """Closes what has been idle for too long; to be called now and then."""
+        """Closes connections past the idle timeout; to be called periodically."""
         now = asyncio.get_running_loop().time()
         while self.idle and now - self.idle[0].since >= self.idle_timeout_s:
             self._close(self.idle.popleft().transport)
 
     def close(self) -> None:
-        """Closes all idle connections, and from now on each that is released."""
+        """Closes all idle connections; those in use are closed on release."""
         self.closed = True
         if self.reserved is not None:
             self._close(self.reserved)
--- a/ramppulley/engines/openai.py
+++ b/ramppulley/engines/openai.py
@@ -1,10 +1,10 @@
 """The connector for OpenAI-compatible engines with vLLM's split of prefill and decode by `kv_transfer_params`.
 
-A prefill asks for one token with `do_remote_decode`; its answer names the KV state, which the decode passes on with
-`do_remote_prefill`. A decode is always asked for as a stream, so that the first token is seen. One-stage requests are one
-POST. The release of a KV state (`POST /kv/release`) and the reservation of a place (`POST /kv/hold`) are extensions that an
-engine announces by the header `kv-extensions` on any answer; without them a state ends by the engine's own time-out and
-no place is reserved.
+A prefill requests one token with `do_remote_decode`; its response names the KV state, which the decode passes on with
+`do_remote_prefill`. A decode always requests a stream, so that the first token is observed. One-stage requests are one
+POST. Releasing KV state (`POST /kv/release`) and reserving capacity (`POST /kv/hold`) are extensions that an engine
+announces in the header `kv-extensions` of any response; without them KV state expires by the engine's own timeout and
+nothing is reserved.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from ramppulley import door
 from ramppulley.engines import proof
 from ramppulley.engines.attempts import AttemptEndedError, BaseConnector
-from ramppulley.engines.reports import FORMAT_HEADER, HEADER, of_metrics, of_orca
+from ramppulley.engines.reports import LOAD_FORMAT_HEADER, LOAD_HEADER, parse_metrics, parse_orca
 from ramppulley.engines.stream_timeout import StreamTimeout
 from ramppulley.engines.usage import usage_of
 from ramppulley.service.neutral import CHAT, COMPLETION, EMBEDDINGS, ONE_STAGE, RERANK, AttemptResult
@@ -27,15 +27,15 @@
     EMBEDDINGS: "/v1/embeddings",
     RERANK: "/v1/rerank",
 }
-MAX_BODY_BYTES = 64 << 20  # of an answer that comes whole
+MAX_BODY_BYTES = 64 << 20  # of a non-streamed response
 EXTENSIONS_HEADER = "kv-extensions"
-MAX_RELEASE_CALLS = 24  # for one KV state
-RELEASE_PAUSE_S, MAX_RELEASE_PAUSE_S = 0.05, 1.0  # between two calls; doubles up to the second
+MAX_RELEASE_CALLS = 24  # per KV state
+RELEASE_PAUSE_S, MAX_RELEASE_PAUSE_S = 0.05, 1.0  # backoff between calls; doubles up to the maximum
 
 
-def split_params(reads, state):
-    """The `kv_transfer_params` of an attempt; None for one that neither leaves nor takes a KV state."""
-    if reads:
+def kv_transfer_params(is_prefill, state):
+    """The `kv_transfer_params` of an attempt; None if it neither produces nor consumes KV state."""
+    if is_prefill:
         return {
             "do_remote_decode": True,
             "do_remote_prefill": False,
@@ -48,30 +48,34 @@
 
 
 class OpenAIConnector(BaseConnector):
-    """All workers of all pools, by their boxes. `full`: statuses that prove that a request was not taken."""
+    """Connector for all workers of all pools. `rejection_statuses` are those by which engines reject a request unstarted."""
 
     max_body_bytes = MAX_BODY_BYTES
 
     def __init__(
         self,
         log,
-        full=(429, 503),
+        rejection_statuses=(429, 503),
         max_connections=512,
         idle_timeout_s=10.0,
         connect_timeout_s=1.0,
-        load="answers",
+        load_source="answers",
         stream_idle_timeout_s=20.0,
     ):
         super().__init__(log, max_connections, idle_timeout_s, connect_timeout_s)
-        self.full, self.load, self.stream_idle_timeout_s = full, load, stream_idle_timeout_s
-        self.calls = {}  # the last call for a request's KV state at a worker, by (request id, box)
-
-    # Connector
-    def _attempt_ended(self, core, attempt, end):
-        """Reports an attempt's end; a KV state that a prefill may have left unnamed is released by the attempt's id."""
-        super()._attempt_ended(core, attempt, end)
-        unknown = attempt.is_prefill and end.outcome not in door.NEVER_RAN and not self.closing
-        if unknown and "release" in self._extensions(attempt.endpoint):
+        self.rejection_statuses, self.load_source, self.stream_idle_timeout_s = (
+            rejection_statuses,
+            load_source,
+            stream_idle_timeout_s,
+        )
+        self.calls = {}  # the latest call for a request's KV state at a worker, by (request id, endpoint)
+
+    # The Connector interface
+    def _attempt_ended(self, core, attempt, result):
+        """Reports an attempt's result; KV state that a prefill may have left without naming it is released by attempt id."""
+        super()._attempt_ended(core, attempt, result)
+        may_have_left_state = attempt.is_prefill and result.outcome not in door.NEVER_RAN and not self.closing
+        if may_have_left_state and "release" in self._extensions(attempt.endpoint):
             self._call_in_order(
                 attempt.tracked,
                 attempt.endpoint,
@@ -80,16 +84,16 @@
 
     def reserve(self, core, tracked, endpoint):
         async def call():
-            held = False
+            reserved = False
             if "hold" in self._extensions(endpoint):
                 body = msgspec.json.encode({"request_id": tracked.request.name, "prompt_tokens": tracked.view.prompt})
                 try:
                     async with asyncio.timeout(self.connect_timeout_s):
                         status, _, _ = await self._call(endpoint, "POST", "/kv/hold", body)
-                    held = status == 200
+                    reserved = status == 200
                 except (OSError, BadMessage):
-                    await self._release(tracked, endpoint, None)  # unheard, it may be held all the same
-            core.reservation_answered(tracked, endpoint, held)
+                    await self._release(tracked, endpoint, None)  # the response was lost: the reservation may exist
+            core.reservation_answered(tracked, endpoint, reserved)
 
         self._call_in_order(tracked, endpoint, call())
 
@@ -101,32 +105,32 @@
         return bool(self.calls)
 
     def _call_in_order(self, tracked, endpoint, call):
-        """Sends one request's calls to one worker one after the other: on two connections they may overtake."""
-        key, before = (tracked.request.name, endpoint), self.calls.get((tracked.request.name, endpoint))
+        """Serializes one request's calls to one worker: on separate connections they could overtake each other."""
+        key, previous = (tracked.request.name, endpoint), self.calls.get((tracked.request.name, endpoint))
 
-        async def after():
-            if before is not None:
-                await asyncio.wait({before})
+        async def run_in_order():
+            if previous is not None:
+                await asyncio.wait({previous})
             await call
 
-        def over(task):
+        def on_done(task):
             if self.calls.get(key) is task:
                 del self.calls[key]
-            call.close()  # it was never begun if we were cancelled while waiting
+            call.close()  # never started if this task was cancelled while waiting
 
-        task = self.calls[key] = self._spawn(after())
-        task.add_done_callback(over)
+        task = self.calls[key] = self._spawn(run_in_order())
+        task.add_done_callback(on_done)
 
     async def _release(self, tracked, endpoint, state, suffix=""):
-        """Calls until one was heard, a few times at most; `suffix`: an attempt's, to release what that may have left."""
-        what = {"request_id": tracked.request.name + suffix}
+        """Calls until one succeeds, at most MAX_RELEASE_CALLS times; `suffix` selects an attempt's leftover KV state."""
+        fields = {"request_id": tracked.request.name + suffix}
         if state is not None:
-            what |= {
+            fields |= {
                 "remote_engine_id": state.get("remote_engine_id"),
                 "remote_block_ids": state.get("remote_block_ids"),
             }
-        body = msgspec.json.encode(what)
-        for number in range(MAX_RELEASE_CALLS):  # also past a cut link: what it holds has no other end
+        body = msgspec.json.encode(fields)
+        for number in range(MAX_RELEASE_CALLS):  # outlasts a network partition: nothing else frees the state
             try:
                 async with asyncio.timeout(self.connect_timeout_s):
                     await self._call(endpoint, "POST", "/kv/release", body)
@@ -135,21 +139,21 @@
                 await asyncio.sleep(min(MAX_RELEASE_PAUSE_S, RELEASE_PAUSE_S * 2**number))
 
     def probe(self, core, endpoint):
-        async def ask():
+        async def run_probe():
             status, _, body = await self._call(endpoint, "GET", "/metrics")
-            report = of_metrics(body.decode("utf-8", "replace")) if status == 200 else None
+            report = parse_metrics(body.decode("utf-8", "replace")) if status == 200 else None
             core.probed(endpoint, door.DONE if status == 200 else door.FAULT, report)
 
-        self._spawn(self._guarded(ask(), lambda: core.probed(endpoint, door.NO_ROUTE, None)))
+        self._spawn(self._call_with_timeout(run_probe(), lambda: core.probed(endpoint, door.NO_ROUTE, None)))
 
-    # Inside
+    # Internals
     def _extensions(self, endpoint):
-        """Of the protocol, that this worker has announced."""
+        """The protocol extensions that this worker has announced."""
         worker = self.workers.get(endpoint)
         return frozenset() if worker is None else worker.extensions
 
     async def _call(self, endpoint, method, path, body=b""):
-        """One control call beside the requests: (status, headers, body)."""
+        """Performs one control call; returns (status, headers, body)."""
         connections = self._pool_of(endpoint)
         transport = await connections.acquire_reserved(self.connect_timeout_s)
         try:
@@ -171,7 +175,7 @@
     def _build_request(self, attempt, connections):
         request, body = attempt.tracked.request, dict(attempt.tracked.request.body)
         if request.kind in (CHAT, COMPLETION):
-            params = split_params(attempt.is_prefill, attempt.state)
+            params = kv_transfer_params(attempt.is_prefill, attempt.state)
             if params is not None:
                 body["kv_transfer_params"] = params
             if attempt.is_prefill:
@@ -191,14 +195,14 @@
             "content-type": "application/json",
             "x-request-id": f"{request.name}-s{attempt.number}",
         }
-        if self.load == "answers":
-            headers[FORMAT_HEADER] = "TEXT"
+        if self.load_source == "answers":
+            headers[LOAD_FORMAT_HEADER] = "TEXT"
         if request.idempotency_key:
             headers["idempotency-key"] = request.idempotency_key
         return http.request("POST", PATHS[request.kind], headers, msgspec.json.encode(body))
 
     async def _read_response(self, core, attempt, transport, timeout, parser):
-        """(End, whether the connection may be used again)."""
+        """Returns the attempt's result and whether the connection may be used again."""
         stream_timeout = StreamTimeout(timeout, transport, self.stream_idle_timeout_s)
         try:
             return await self._read_to_end(core, attempt, transport, parser, stream_timeout)
@@ -214,7 +218,7 @@
                 raise AttemptEndedError(
                     AttemptResult(
                         proof.outcome_of(attempt.stage, proof.Failure.LOST),
-                        f"{attempt.stage}: the connection ended",
+                        f"{attempt.stage}: the connection closed",
                         streams.report if streams else None,
                     )
                 )
@@ -224,7 +228,7 @@
                 parser.feed(data)
             except BadMessage:
                 if attempt.first_token_at is not None:
-                    await streams.feed(parser.take())  # whole events that came before what cannot be read
+                    await streams.feed(parser.take())  # complete events received before the corrupt bytes
                 raise
             if parser.status and attempt.stage == proof.Stage.WAIT:
                 attempt.stage = proof.Stage.ANSWER
@@ -232,44 +236,44 @@
                     worker.extensions = frozenset(parser.headers[EXTENSIONS_HEADER].replace(",", " ").split())
                     if worker.connections.reserved is None:
                         self._spawn(worker.connections.open_reserved(self.connect_timeout_s))
-                report = of_orca(parser.headers.get(HEADER))
+                report = parse_orca(parser.headers.get(LOAD_HEADER))
                 if parser.status == 200 and parser.headers.get("content-type", "").startswith("text/event-stream"):
                     streams = EventStream(core, attempt, report, stream_timeout)
             if streams:
                 await streams.feed(parser.take())
         if streams:
-            return streams.end(), parser.keep_alive
-        return self._end_of_whole(attempt, parser, report), parser.keep_alive
+            return streams.finish(), parser.keep_alive
+        return self._result_of_whole_response(attempt, parser, report), parser.keep_alive
 
-    def _end_of_whole(self, attempt, parser, report):
-        """The End by an answer in one piece: a prefill's, a one-stage request's, or a refusal."""
+    def _result_of_whole_response(self, attempt, parser, report):
+        """The result of a non-streamed response: of a prefill, of a one-stage request, or a rejection."""
         body, request = parser.take(), attempt.tracked.request
         try:
-            told = msgspec.json.decode(body)
-        except msgspec.DecodeError as fault:
-            if parser.status in self.full:  # the status alone is the proof
+            decoded = msgspec.json.decode(body)
+        except msgspec.DecodeError as decode_error:
+            if parser.status in self.rejection_statuses:  # the status alone proves that it did not run
                 return AttemptResult(door.NO_ROOM, f"status {parser.status}", report)
             if parser.status != 200:
                 return AttemptResult(door.FAULT, f"status {parser.status}", report)
-            raise BadMessage(f"not JSON: {fault}") from fault
-        error = told.get("error", told) if isinstance(told, dict) else {}
+            raise BadMessage(f"response body is not valid JSON: {decode_error}") from decode_error
+        error = decoded.get("error", decoded) if isinstance(decoded, dict) else {}
         code = str(error.get("code", "")) if isinstance(error, dict) else ""
-        outcome = proof.of_status(parser.status, code, self.full, attempt.is_prefill)
+        outcome = proof.status_outcome(parser.status, code, self.rejection_statuses, attempt.is_prefill)
         if outcome is not None:
             return AttemptResult(outcome, f"status {parser.status} {code}".strip(), report)
         if parser.status == 200:
-            if not isinstance(told, dict):
-                raise BadMessage("the answer is no object")
-            usage = usage_of(told.get("usage"))
+            if not isinstance(decoded, dict):
+                raise BadMessage("response body is not a JSON object")
+            usage = usage_of(decoded.get("usage"))
             if attempt.is_prefill:
-                state = told.get("kv_transfer_params")
+                state = decoded.get("kv_transfer_params")
                 if not isinstance(state, dict) or not state.get("do_remote_prefill"):
-                    raise BadMessage("a read without kv_transfer_params")
+                    raise BadMessage("prefill response has no kv_transfer_params")
                 return AttemptResult(door.READ, "", report, usage, state)
             if request.kind not in ONE_STAGE:
-                raise BadMessage("a stream was asked for")
-            if not isinstance(told.get("data" if request.kind == EMBEDDINGS else "results"), list):
-                raise BadMessage("an answer without its list")
+                raise BadMessage("expected a stream, got a single response")
+            if not isinstance(decoded.get("data" if request.kind == EMBEDDINGS else "results"), list):
+                raise BadMessage("response has no list of results")
         else:
             usage = None
         return AttemptResult(
@@ -283,7 +287,7 @@
 
 
 class EventStream:
-    """Passes each whole event of a decode worker's stream on at once; then the next bytes are read."""
+    """Forwards each complete event of a decode worker's stream immediately, before reading the next bytes."""
 
     def __init__(self, core, attempt, report, stream_timeout):
         self.core, self.attempt, self.report, self.stream_timeout = core, attempt, report, stream_timeout
@@ -292,7 +296,7 @@
     async def feed(self, data):
         for event in self.splitter.feed(data):
             if self.done:
-                raise BadMessage("an event after [DONE]")
+                raise BadMessage("event after [DONE]")
             if event == sse.DONE:
                 self.done = True
                 if self.attempt.first_token_at is not None:
@@ -300,11 +304,13 @@
                 continue
             if event.startswith(b'{"error"'):
                 raise AttemptEndedError(
-                    AttemptResult(door.FAULT, f"an error event: {event[:200].decode('utf-8', 'replace')}", self.report)
+                    AttemptResult(
+                        door.FAULT, f"engine sent an error event: {event[:200].decode('utf-8', 'replace')}", self.report
+                    )
                 )
             only_usage = False
             if b'"usage":{' in event or b'"usage": {' in event or not event.startswith(b"{"):
-                only_usage = self._usage(event)
+                only_usage = self._record_usage(event)
             if self.attempt.first_token_at is None and not only_usage:
                 if not self.core.first_token(self.attempt):
                     raise AttemptEndedError(AttemptResult(door.UNDONE, "answered already", self.report))
@@ -317,23 +323,23 @@
         try:
             await self.attempt.tracked.sink.piece(event)
         except OSError:
-            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left", self.report)) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client disconnected", self.report)) from None
         self.stream_timeout.forwarding = False
 
-    def _usage(self, event):
-        """Whether the event is nothing but the usage, which goes on only if the client asked for it."""
+    def _record_usage(self, event):
+        """Records usage; True if the event holds nothing else, and so is forwarded only if the client asked for usage."""
         try:
-            told = msgspec.json.decode(event)
-        except msgspec.DecodeError as fault:
-            raise BadMessage(f"an event that is not JSON: {fault}") from fault
-        if not isinstance(told, dict):
-            raise BadMessage("an event that is no object")
-        self.usage = usage_of(told.get("usage")) or self.usage
-        return told.get("choices") == []
-
-    def end(self):
+            decoded = msgspec.json.decode(event)
+        except msgspec.DecodeError as error:
+            raise BadMessage(f"event is not valid JSON: {error}") from error
+        if not isinstance(decoded, dict):
+            raise BadMessage("event is not a JSON object")
+        self.usage = usage_of(decoded.get("usage")) or self.usage
+        return decoded.get("choices") == []
+
+    def finish(self):
         if not self.done:
             return AttemptResult(door.CUT, "the stream ended without [DONE]", self.report, self.usage)
         if self.attempt.first_token_at is None:
-            return AttemptResult(door.FAULT, "a stream without a token", self.report, self.usage)
+            return AttemptResult(door.FAULT, "the stream ended without a token", self.report, self.usage)
         return AttemptResult(door.DONE, "", self.report, self.usage)
--- a/ramppulley/engines/platform/__init__.py
+++ b/ramppulley/engines/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's workers: read, write, leases, probes."""
+"""The connector for the platform's workers: prefill, decode, leases, probes."""
--- a/ramppulley/engines/platform/connector.py
+++ b/ramppulley/engines/platform/connector.py
@@ -1,8 +1,8 @@
 """The connector for the platform's workers: a client's request goes to a prefill worker, then unchanged to a decode worker.
 
-The KV state that is held for a request is released by `DELETE`, which any worker takes: the one that responded last is asked
-first, so that a holder that died cannot keep it. A prefill whose end was not heard may have left a KV state that nobody
-named; it is released as well.
+A request's KV state is released by `DELETE`, which any worker accepts. The worker that responded most recently is called
+first, so that the death of the worker holding the state cannot block the release. A prefill whose result was not received
+may have left KV state without naming it; that is released as well.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from ramppulley import door
 from ramppulley.engines.attempts import AttemptEndedError, BaseConnector
 from ramppulley.engines.connections import ConnectionBudget, ConnectionLimitError, ConnectionPool
-from ramppulley.engines.platform.proof import of_status
+from ramppulley.engines.platform.proof import status_outcome
 from ramppulley.engines.platform.releases import DELAY_S, KvReleases, ReleaseResult
 from ramppulley.engines.platform.stream import EventStream
 from ramppulley.engines.proof import Failure, Stage, outcome_of
@@ -24,14 +24,14 @@
 from ramppulley.wire.faults import BadMessage
 from ramppulley.wire.sockets import Transport
 
-IDLE_TIMEOUT_SHARE = 0.8  # of the time that a worker keeps an idle connection; later its close may cross a request
-DEFAULT_IDLE_TIMEOUT_S = 1.0  # where the settings do not name that time
-STREAM_IDLE_TIMEOUT_S = 4.4  # without an event: a client may not be left waiting for 5 (PROTOCOL, Figures)
+IDLE_TIMEOUT_SHARE = 0.8  # of the worker's idle timeout; beyond it, the worker's close may cross a new request
+DEFAULT_IDLE_TIMEOUT_S = 1.0  # if the settings give no idle timeout
+STREAM_IDLE_TIMEOUT_S = 4.4  # without an event: a client may wait 5 s at most (PROTOCOL, Figures)
 
 
 @dataclass(eq=False, slots=True)
 class Response:
-    """A response that is being read."""
+    """A response being received."""
 
     parser: http.AnswerParser
     report: door.LoadReport | None = None
@@ -39,75 +39,78 @@
 
 
 class PlatformConnector(BaseConnector):
-    """All workers by their boxes. `profile` names their times and how their reports come."""
+    """Connector for all workers. `profile` gives their timeouts and how they report load."""
 
     def __init__(self, log: Any, profile: Any, budget: ConnectionBudget) -> None:
-        # one more than there may be in all: a wait for one worker's would not end with ConnectionLimitError
+        # above the total budget: waiting for a pool's capacity would never raise ConnectionLimitError
         super().__init__(log, budget.max_open + 1, 0.0, 0.0, budget)
-        self.releases = KvReleases(log, self.workers, self._release_at, self._spawn, self._held_limit_s)
+        self.releases = KvReleases(log, self.workers, self._release_at, self._spawn, self._release_limit_s)
         self.configure(profile)
 
     def configure(self, profile: Any) -> None:
-        """Attempts and calls that begin from now on keep these times; reports mean what these settings say."""
+        """Applies new timeouts to attempts and calls that start from now on, and a new interpretation of load reports."""
         self.profile, self.reports_in_responses = profile, profile.how == "answers"
         self.connect_timeout_s = profile.connect_within / TENTHS
         self.set_idle_timeout(IDLE_TIMEOUT_SHARE * profile.idle / TENTHS if profile.idle else DEFAULT_IDLE_TIMEOUT_S)
 
     def record_response(self, endpoint: door.Endpoint) -> None:
-        """A worker has just responded."""
+        """Records that a worker has just responded."""
         self.releases.record_response(endpoint)
 
     def close_worker(self, endpoint: door.Endpoint) -> None:
-        """A worker is gone: its idle connections are not needed any more."""
+        """Closes the pool of a worker that is gone."""
         self.releases.forget_response(endpoint)
         self.workers[endpoint].connections.close()
 
-    # Connector
+    # The Connector interface
     def reserve(self, core: Any, tracked: TrackedRequest, endpoint: door.Endpoint) -> None:
-        """The protocol has no call for it."""
+        """Answers that nothing was reserved: the protocol has no reservations."""
         asyncio.get_running_loop().call_soon(core.reservation_answered, tracked, endpoint, False)
 
     def release(self, tracked: TrackedRequest, endpoint: door.Endpoint | None, state: Any) -> None:
-        """Releases all that is held for a request, wherever it is. A decode that was given up has to see that first: what
-        an attempt waits for is not released."""
-        last = tracked.attempts[-1].result if tracked.attempts else None
-        given_up = last is not None and last[1].outcome not in door.ANSWERED
-        self._owe_release(tracked, DELAY_S if given_up else 0.0)
+        """Releases all KV state of a request, at whichever worker it is.
+
+        A worker does not free state that an attempt waits for, so a decode that was given up must first see its connection
+        close: the release is delayed.
+        """
+        last_result = tracked.attempts[-1].result if tracked.attempts else None
+        given_up = last_result is not None and last_result[1].outcome not in door.ANSWERED
+        self._schedule_release(tracked, DELAY_S if given_up else 0.0)
         decode = next((attempt for attempt in tracked.open_attempts if not attempt.is_prefill), None)
         if decode is not None and not self.closing:
-            self.releases.given_up(tracked, decode.endpoint)
+            self.releases.repeat_release(tracked, decode.endpoint)
 
     def probe(self, core: Any, endpoint: door.Endpoint) -> None:
-        """Asks a worker for its load; reported to `core.probed`."""
+        """Requests a worker's load report; the result is passed to `core.probed`."""
         self._spawn(self._probe(core, endpoint))
 
     async def close(self) -> None:
-        """Also the releases that would be repeated."""
+        """Also stops repeating releases."""
         self.releases.close()
         await super().close()
 
     def has_releases(self) -> bool:
-        """Whether releases are owed or under way."""
+        """Whether releases are pending, running or to be repeated."""
         return self.releases.outstanding()
 
     # Releases
-    def _attempt_ended(self, core: Any, attempt: EngineAttempt, end: AttemptResult) -> None:
-        may_have_left = attempt.is_prefill and end.outcome not in door.NEVER_RAN
-        unanswered = attempt.first_token_at is None and end.outcome not in door.ANSWERED + door.NEVER_RAN
-        if may_have_left:
-            self._owe_release(attempt.tracked, DELAY_S)  # the worker must see our close before
-        if (may_have_left or unanswered) and not self.closing:
-            self.releases.given_up(attempt.tracked, attempt.endpoint)
-        super()._attempt_ended(core, attempt, end)
-        if attempt.tracked in self.releases.owed:  # it waited for this attempt's end
+    def _attempt_ended(self, core: Any, attempt: EngineAttempt, result: AttemptResult) -> None:
+        may_have_left_state = attempt.is_prefill and result.outcome not in door.NEVER_RAN
+        unanswered = attempt.first_token_at is None and result.outcome not in door.ANSWERED + door.NEVER_RAN
+        if may_have_left_state:
+            self._schedule_release(attempt.tracked, DELAY_S)  # the worker has to see the connection close first
+        if (may_have_left_state or unanswered) and not self.closing:
+            self.releases.repeat_release(attempt.tracked, attempt.endpoint)
+        super()._attempt_ended(core, attempt, result)
+        if attempt.tracked in self.releases.pending:  # it was waiting for this attempt to end
             asyncio.get_running_loop().call_soon(self.releases.start, attempt.tracked)
 
-    def _held_limit_s(self) -> float:
+    def _release_limit_s(self) -> float:
         return float(self.profile.lawbook.let_go_within) / TENTHS
 
-    def _owe_release(self, tracked: TrackedRequest, delay_s: float) -> None:
+    def _schedule_release(self, tracked: TrackedRequest, delay_s: float) -> None:
         if not self.closing:
-            self.releases.owe(tracked, delay_s)
+            self.releases.schedule(tracked, delay_s)
 
     async def _before_first_byte(self, attempt: EngineAttempt) -> None:
         await self.releases.before_first_byte(attempt)
@@ -122,17 +125,17 @@
         except (OSError, TimeoutError, BadMessage):
             return ReleaseResult.FAILED
 
-    # Calls beside the requests
+    # Control calls
     async def _probe(self, core: Any, endpoint: door.Endpoint) -> None:
         outcome, report = door.TOO_SLOW, None
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                status, figures = await self._call(endpoint, "GET", platform.LOAD)
+                status, fields = await self._call(endpoint, "GET", platform.LOAD)
             outcome = door.DONE if status == 200 else door.FAULT if status != 503 else door.NO_ROOM
-            if figures is not None:
-                report = self.profile.report(figures)
+            if fields is not None:
+                report = self.profile.report(fields)
         except ConnectionLimitError:
-            outcome = door.STALE  # ours: it says nothing of the worker
+            outcome = door.STALE  # a local limit: not the worker's failure
         except BadMessage:
             outcome = door.FAULT
         except TimeoutError:
@@ -144,7 +147,7 @@
     async def _call(
         self, endpoint: door.Endpoint, method: str, target: str, control: bool = False
     ) -> tuple[int, dict[str, Any] | None]:
-        """One small exchange: (status, a load report's figures or None)."""
+        """Performs one control call; returns the status, and for GET the load report's fields or None."""
         connections = self._pool_of(endpoint)
         transport = await connections.acquire(self.connect_timeout_s, control=control)
         reusable = False
@@ -163,14 +166,14 @@
         headers = {
             "host": request.headers.get("host", "origin"),
             platform.ID: attempt.tracked.request.name,
-            platform.LIMIT: max(1, attempt.remaining // 10),  # how long its client waits from now on
+            platform.LIMIT: max(1, attempt.remaining // 10),  # remaining client timeout, in ms
         }
         headers |= {name: request.headers[name] for name in platform.PASSED_ON if name in request.headers}
         encoded: bytes = http.request(request.method, request.target, headers, request.body)
         return encoded
 
-    def _outcome_of_corrupt(self, attempt: EngineAttempt) -> str:
-        """A decode worker's response comes with its first token, and then the KV state has been fetched."""
+    def _outcome_of_corrupt_response(self, attempt: EngineAttempt) -> str:
+        """A decode worker responds only with its first token, by which time it has fetched the KV state."""
         return door.FAULT if attempt.is_prefill else door.SPOILT
 
     async def _read_response(
@@ -181,7 +184,7 @@
         timeout: asyncio.Timeout,
         parser: http.AnswerParser,
     ) -> tuple[AttemptResult, bool]:
-        """(End, whether the connection may be used again)."""
+        """Returns the attempt's result and whether the connection may be used again."""
         stream_timeout, response = StreamTimeout(timeout, transport, STREAM_IDLE_TIMEOUT_S), Response(parser)
         try:
             while not parser.done:
@@ -192,29 +195,29 @@
                     await response.stream.feed(parser.take())
                     self.record_response(attempt.endpoint)
             if response.stream is not None:
-                end = await response.stream.end(self._read_stream_report)
+                result = await response.stream.finish(self._read_stream_report)
             else:
-                end = self._end_of_whole(attempt, response)
-            return end, parser.keep_alive
+                result = self._result_of_whole_response(attempt, response)
+            return result, parser.keep_alive
         finally:
             stream_timeout.close()
 
     async def _receive(self, attempt: EngineAttempt, transport: Transport, response: Response) -> None:
-        """Feeds the next bytes to the response's parser."""
+        """Receives the next bytes and feeds them to the response's parser."""
         parser = response.parser
         data = await transport.receive()
         if not data:
             outcome = outcome_of(attempt.stage, Failure.LOST)
-            raise AttemptEndedError(AttemptResult(outcome, f"{attempt.stage}: the connection ended", response.report))
+            raise AttemptEndedError(AttemptResult(outcome, f"{attempt.stage}: the connection closed", response.report))
         try:
             parser.feed(data)
         except BadMessage:
             if response.stream is not None and attempt.first_token_at is not None:
-                await response.stream.feed(parser.take())  # whole events that came before what cannot be read
+                await response.stream.feed(parser.take())  # complete events received before the corrupt bytes
             raise
 
     def _read_head(self, core: Any, attempt: EngineAttempt, response: Response, stream_timeout: StreamTimeout) -> None:
-        """The status and the headers are there."""
+        """Handles the status and headers once they have arrived."""
         parser = response.parser
         attempt.stage = Stage.ANSWER
         self.record_response(attempt.endpoint)
@@ -222,23 +225,23 @@
             response.report = self._read_report(parser.headers[platform.REPORT])
         if parser.status == 200 and not attempt.is_prefill:
             if not parser.headers.get("content-type", "").startswith("text/event-stream"):
-                raise BadMessage("a stream was asked for")
+                raise BadMessage("expected an event stream, got another content type")
             response.stream = EventStream(core, attempt, stream_timeout)
 
-    def _end_of_whole(self, attempt: EngineAttempt, response: Response) -> AttemptResult:
-        """The End by a response in one piece: a prefill's, or a refusal."""
+    def _result_of_whole_response(self, attempt: EngineAttempt, response: Response) -> AttemptResult:
+        """The result of a non-streamed response: of a prefill, or a rejection."""
         parser = response.parser
         body = parser.take()
-        outcome = of_status(parser.status, parser.headers.get(platform.NEVER) == "1", attempt.is_prefill)
-        why = f"status {parser.status}"
+        outcome = status_outcome(parser.status, parser.headers.get(platform.NEVER) == "1", attempt.is_prefill)
+        reason = f"status {parser.status}"
         if outcome != door.READ:
-            return AttemptResult(outcome, why, response.report)
+            return AttemptResult(outcome, reason, response.report)
         usage = usage_of({"prompt_tokens_details": platform.figures(body) or {}})
-        return AttemptResult(outcome, why, response.report, usage, attempt.tracked.request.name)
+        return AttemptResult(outcome, reason, response.report, usage, attempt.tracked.request.name)
 
     def _read_stream_report(self, text: bytes) -> door.LoadReport | None:
         return self._read_report(text) if self.reports_in_responses else None
 
     def _read_report(self, text: str | bytes) -> door.LoadReport | None:
-        figures = platform.figures(text)
-        return None if figures is None else self.profile.report(figures)
+        fields = platform.figures(text)
+        return None if fields is None else self.profile.report(fields)
--- a/ramppulley/engines/platform/stream.py
+++ b/ramppulley/engines/platform/stream.py
@@ -1,4 +1,4 @@
-"""The event stream of a decode worker, as it is passed on to the client."""
+"""Forwards the event stream of a decode worker to the client."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,22 +11,25 @@
 from ramppulley.wire import platform, sse
 from ramppulley.wire.faults import BadMessage
 
-MAX_TAIL_BYTES = 4096  # of the stream's end, in which usage and report are looked for
+MAX_TAIL_BYTES = 4096  # end of the stream that is searched for usage and load report
 REPORT_COMMENT = b": Srv-Load:"
 
 
 class EventStream:
-    """Passes whole events on at once and unchanged; the next bytes are read once the client has taken them."""
+    """Forwards complete events immediately and unchanged; the next bytes are read once the client has accepted them."""
 
     def __init__(self, core: Any, attempt: EngineAttempt, stream_timeout: StreamTimeout) -> None:
         self.core, self.attempt, self.stream_timeout = core, attempt, stream_timeout
         self.blocks, self.tail = sse.Blocks(), b""
 
     async def feed(self, data: bytes) -> None:
-        """Raises BadMessage for what is no event: behind the events before it, if the response has begun."""
+        """Forwards complete events.
+
+        Raises BadMessage for corrupt data: after forwarding the events before it if the response has started, else at once.
+        """
         events = self.blocks.feed(data)
         if self.blocks.fault and self.attempt.first_token_at is None:
-            raise self.blocks.fault  # nothing was passed on: another worker may give the whole answer
+            raise self.blocks.fault  # nothing was forwarded yet: another worker can serve the whole response
         if events:
             await self._pass_on(events)
         if self.blocks.fault:
@@ -41,14 +44,14 @@
         try:
             await self.attempt.tracked.sink.piece(events)
         except OSError:
-            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left")) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client disconnected")) from None
         self.stream_timeout.forwarding = False
 
-    async def end(self, read_report: Callable[[bytes], door.LoadReport | None]) -> AttemptResult:
-        """The End of a whole stream; `read_report` reads a load report."""
+    async def finish(self, read_report: Callable[[bytes], door.LoadReport | None]) -> AttemptResult:
+        """Forwards the rest and returns the result of a complete stream; `read_report` parses a load report."""
         rest = self.blocks.last()
         if self.attempt.first_token_at is None:
-            raise BadMessage("a stream without an event")
+            raise BadMessage("the stream ended without an event")
         if rest:
             await self._pass_on(rest)
         usage, report = None, None
--- a/ramppulley/engines/reports.py
+++ b/ramppulley/engines/reports.py
@@ -1,7 +1,7 @@
-"""Load reports as engines publish them: the ORCA header of an answer, and Prometheus text at /metrics. Pure.
+"""Parses engines' load reports: the ORCA header of a response, and Prometheus text from /metrics. No I/O.
 
-Sources: ORCA (Open Request Cost Aggregation), header `endpoint-load-metrics` in its TEXT and JSON forms; vLLM's metric
-names. What cannot be read is no report: load is a hint, never a reason to fail an answer.
+Formats: ORCA (Open Request Cost Aggregation), header `endpoint-load-metrics` in its TEXT and JSON forms; vLLM's metric
+names. Unparsable input yields no report: load is a hint and never a reason to fail a response.
 """
 
 import math
@@ -11,66 +11,70 @@
 
 from ramppulley.door import LoadReport
 
-HEADER, FORMAT_HEADER = "endpoint-load-metrics", "endpoint-load-metrics-format"
+LOAD_HEADER, LOAD_FORMAT_HEADER = "endpoint-load-metrics", "endpoint-load-metrics-format"
 RUNNING, WAITING = "num_requests_running", "num_requests_waiting"
-MEMORY = ("kv_cache_usage_perc", "gpu_cache_usage_perc")
-TOKENS = "num_prompt_tokens_waiting"  # an extension: prompt tokens still to be read
+MEMORY_USAGE = ("kv_cache_usage_perc", "gpu_cache_usage_perc")
+TOKENS_WAITING = "num_prompt_tokens_waiting"  # extension: prompt tokens waiting for prefill
 
 
-def _report(figures):
-    def known(*names):
+def _report(metrics):
+    def first_valid(*names):
         for name in names:
-            value = figures.get(name)
+            value = metrics.get(name)
             if isinstance(value, (int, float)) and math.isfinite(value) and value >= 0:
                 return float(value)
         return None
 
-    running, waiting, share = known(RUNNING), known(WAITING), known(*MEMORY)
-    held = None if running is None and waiting is None else (running or 0) + (waiting or 0)
-    if held is None and share is None and known(TOKENS) is None:
+    running, waiting, usage = first_valid(RUNNING), first_valid(WAITING), first_valid(*MEMORY_USAGE)
+    requests = None if running is None and waiting is None else (running or 0) + (waiting or 0)
+    if requests is None and usage is None and first_valid(TOKENS_WAITING) is None:
         return None
-    return LoadReport(held=held, memory_share=None if share is None else min(share, 1.0), tokens_waiting=known(TOKENS))
+    return LoadReport(
+        held=requests,
+        memory_share=None if usage is None else min(usage, 1.0),
+        tokens_waiting=first_valid(TOKENS_WAITING),
+    )
 
 
-def of_orca(text):
+def parse_orca(text):
     """
-    >>> of_orca("TEXT named_metrics.kv_cache_usage_perc=0.5, named_metrics.num_requests_running=3").memory_share
+    >>> parse_orca("TEXT named_metrics.kv_cache_usage_perc=0.5, named_metrics.num_requests_running=3").memory_share
     0.5
-    >>> of_orca('JSON {"named_metrics": {"num_requests_waiting": 2}}').held
+    >>> parse_orca('JSON {"named_metrics": {"num_requests_waiting": 2}}').held
     2.0
-    >>> of_orca("TEXT a=b") is None, of_orca("BIN xx") is None
+    >>> parse_orca("TEXT a=b") is None, parse_orca("BIN xx") is None
     (True, True)
     """
-    form, _, rest = (text or "").strip().partition(" ")
-    figures = {}
-    if form == "JSON":
+    encoding, _, rest = (text or "").strip().partition(" ")
+    metrics = {}
+    if encoding == "JSON":
         try:
-            told = msgspec.json.decode(rest.encode())
+            document = msgspec.json.decode(rest.encode())
         except msgspec.DecodeError:
             return None
-        if isinstance(told, dict) and isinstance(told.get("named_metrics"), dict):
-            figures = told["named_metrics"]
-    elif form == "TEXT":
+        if isinstance(document, dict) and isinstance(document.get("named_metrics"), dict):
+            metrics = document["named_metrics"]
+    elif encoding == "TEXT":
         for part in rest.split(","):
             name, _, value = part.strip().partition("=")
             try:
-                figures[name.removeprefix("named_metrics.")] = float(value)
+                metrics[name.removeprefix("named_metrics.")] = float(value)
             except ValueError:
                 continue
-    return _report(figures)
+    return _report(metrics)
 
 
-def of_metrics(text):
+def parse_metrics(text):
     """
-    >>> of_metrics('vllm:num_requests_running{model="m"} 2.0\\nvllm:kv_cache_usage_perc 0.25\\n').held
+    >>> parse_metrics('vllm:num_requests_running{model="m"} 2.0\\nvllm:kv_cache_usage_perc 0.25\\n').held
     2.0
     """
-    figures = {}
+    metrics = {}
     try:
         for family in text_string_to_metric_families(text):
             name = family.name.removeprefix("vllm:")
-            if name in (RUNNING, WAITING, TOKENS, *MEMORY):
-                figures[name] = sum(sample.value for sample in family.samples)
+            if name in (RUNNING, WAITING, TOKENS_WAITING, *MEMORY_USAGE):
+                metrics[name] = sum(sample.value for sample in family.samples)
     except (ValueError, KeyError, IndexError):
         return None
-    return _report(figures)
+    return _report(metrics)
--- a/ramppulley/engines/stream_timeout.py
+++ b/ramppulley/engines/stream_timeout.py
@@ -1,17 +1,17 @@
-"""The idle timeout of a stream that has begun, for all connectors."""
+"""The idle timeout of a started stream, for all connectors."""
 
 import asyncio
 
 from ramppulley.wire.sockets import Transport
 
-RECHECK_S = 0.05  # to the next look at a stream that may not be ended yet
+RECHECK_S = 0.05  # between checks of an expired stream that may not be ended yet
 
 
 class StreamTimeout:
-    """Ends a stream through `timeout` once its worker has sent nothing for `idle_s`.
+    """Expires `timeout` once the worker has sent nothing on a stream for `idle_s`.
 
-    Time in which the client takes an event (`forwarding`) does not count, as it says nothing of the worker. A stream whose
-    bytes have arrived unread is not ended either, however late the event loop runs.
+    Time spent forwarding an event to the client (`forwarding`) does not count, as the worker is not at fault. A stream with
+    unread bytes is not ended either, however late the event loop runs.
     """
 
     def __init__(self, timeout: asyncio.Timeout, transport: Transport, idle_s: float) -> None:
@@ -22,14 +22,14 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def restart(self) -> None:
-        """The worker has sent something: its time starts anew."""
+        """Restarts the idle time: the worker has sent something."""
         self.deadline = self.loop.time() + self.idle_s
         if self.timer is not None:
             return
         try:
             self.timeout.reschedule(None)
         except RuntimeError:
-            return  # it expired in this very turn: the cancel is under way
+            return  # expired in this event loop iteration: the cancellation is already scheduled
         self.timer = self.loop.call_at(self.deadline, self._on_timer)
 
     def close(self) -> None:
@@ -45,6 +45,6 @@
             self.timer = self.loop.call_at(self.deadline, self._on_timer)
         else:
             self.timer = None
-            # a time that has passed ends the stream behind what this turn has received, which may still call `restart`;
-            # a cancel in this place would lose those bytes
+            # A deadline in the past takes effect after the bytes received in this event loop iteration are handled, which
+            # may still call `restart`; cancelling here would lose those bytes.
             self.timeout.reschedule(now)
--- a/ramppulley/engines/usage.py
+++ b/ramppulley/engines/usage.py
@@ -1,18 +1,18 @@
-"""The usage object of an answer, as the OpenAI API has it. Pure."""
+"""Parses the usage object of a response in the format of the OpenAI API. No I/O."""
 
 from ramppulley.service.neutral import Usage
 
 
-def usage_of(told: object) -> Usage | None:
-    """The usage object of an answer, or None where it tells nothing usable."""
-    if not isinstance(told, dict):
+def usage_of(usage: object) -> Usage | None:
+    """Parses a usage object; None if it is not an object. Missing or invalid counts are 0."""
+    if not isinstance(usage, dict):
         return None
-    details = told.get("prompt_tokens_details")
-    figures = [
-        told.get("prompt_tokens"),
-        told.get("total_tokens"),
-        told.get("completion_tokens"),
+    details = usage.get("prompt_tokens_details")
+    counts = [
+        usage.get("prompt_tokens"),
+        usage.get("total_tokens"),
+        usage.get("completion_tokens"),
         details.get("cached_tokens") if isinstance(details, dict) else None,
     ]
-    prompt, total, written, cached = (f if isinstance(f, int) and f >= 0 else 0 for f in figures)
-    return Usage(prompt or total, cached, written)
+    prompt, total, completion, cached = (count if isinstance(count, int) and count >= 0 else 0 for count in counts)
+    return Usage(prompt or total, cached, completion)
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -68,7 +68,7 @@
     """What is held is never released."""
     from ramppulley.engines.platform.releases import KvReleases
 
-    replace(KvReleases, "owe", lambda self, tracked, delay_s: None)
+    replace(KvReleases, "schedule", lambda self, tracked, delay_s: None)
 
 
 def release_waits() -> None:
@@ -256,7 +256,7 @@
     """A release behind an attempt that was given up is never repeated."""
     from ramppulley.engines.platform.releases import KvReleases
 
-    replace(KvReleases, "given_up", lambda self, tracked, endpoint: None)
+    replace(KvReleases, "repeat_release", lambda self, tracked, endpoint: None)
 
 
 def begins_for_nobody() -> None:
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -137,7 +137,7 @@
         """Nothing is held for any question, here or at the workers."""
         await self.until(lambda: not self.yard and not self.node.core.requests and not self.node.engines.tasks)
         assert not self.node.core.router.requests
-        assert not self.node.engines.releases.owed and not self.node.engines.releases.running
+        assert not self.node.engines.releases.pending and not self.node.engines.releases.running
 
 
 def stand_still(seconds):
--- a/tests/test_bad_input_leaves_nothing.py
+++ b/tests/test_bad_input_leaves_nothing.py
@@ -62,7 +62,7 @@
         "questions": len(node.core.router.requests),
         "sent": len(node.core.router.admission.new_requests),
         "attempts and releases": len(node.engines.tasks),
-        "owed": len(node.engines.releases.owed) + len(node.engines.releases.running),
+        "owed": len(node.engines.releases.pending) + len(node.engines.releases.running),
         "states": len(world.yard),
         "clients": len(front.listener.tasks),
         "open": len(front.open_requests),
