--- a/ramppulley/engines/attempts.py
+++ b/ramppulley/engines/attempts.py
@@ -98,9 +98,7 @@
         self.workers: dict[door.Endpoint, Worker] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
         self.closing = False
-        self.refresh_list: Callable[[], None] = lambda: (
-            None
-        )  # applies endpoint list updates that have arrived but are unread
+        self.refresh_list: Callable[[], None] = lambda: None  # applies endpoint list updates not read yet
 
     def set_address(self, endpoint: door.Endpoint, address: Address) -> None:
         """Sets a worker's address. A changed address closes the old connections; a closed pool is replaced by a new one."""
--- a/ramppulley/engines/platform/releases.py
+++ b/ramppulley/engines/platform/releases.py
@@ -22,7 +22,7 @@
 from ramppulley.service.permission import ReleaseFacts
 
 MAX_CALLS, MAX_CONCURRENT_CALLS = 8, 4  # per release, each to a different worker
-CAPACITY_TIMEOUT_S = 5.0  # how long a release waits for a connection; those of control calls are short
+CAPACITY_TIMEOUT_S = 5.0  # how long a release waits for a connection; the reserved ones are soon free
 DELAY_S = 0.02  # from closing an attempt's connection to the release of leftover state; also between calls
 RECENT_RESPONSE_S = 1.0  # a worker that responded within this is called first
 REPEAT_SHARE = 0.8  # of the release time limit: interval between repeated releases
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Stories of descriptors: idle and bad clients may fill what is theirs; the watch, workers, releases and SIGHUP go on."""
+"""File descriptor limits: floods of idle or misbehaving clients leave discovery, workers, releases and SIGHUP working."""
 
 import asyncio
 import json
@@ -27,11 +27,11 @@
 from ramppulley.wire.sockets import Listener, connect
 
 ROOT = Path(__file__).parents[1]
-HALF = question("q-half")[:80]
+HALF_REQUEST = question("q-half")[:80]
 
 
 class Apart(World):
-    """The router is a process of its own with so many descriptors."""
+    """Runs the router as a separate process with a limit of `sockets` descriptors."""
 
     async def start_router(self):
         self.folder, self.peak = tempfile.TemporaryDirectory(prefix="rp-test-"), 0
@@ -61,7 +61,7 @@
         self.folder.cleanup()
 
     async def fill(self):
-        """Opens all connections to workers that there may be: more requests at once than are taken."""
+        """Opens as many worker connections as allowed, with more concurrent requests than are accepted."""
         await asyncio.gather(*(self.ask(f"f-{i}", req_key=f"k{i}") for i in range(40)), return_exceptions=True)
 
     def log(self):
@@ -69,14 +69,14 @@
 
 
 class Flood:
-    """Many clients that connect at once, say `data` and stay; others like them until the end."""
+    """Many clients that connect at once, send `data` and stay open; more keep connecting until the exit."""
 
-    def __init__(self, port, data=b"", at_once=100, each=20):
-        self.port, self.data, self.at_once, self.each, self.socks = port, data, at_once, each, []
+    def __init__(self, port, data=b"", initial=100, per_step=20):
+        self.port, self.data, self.initial, self.per_step, self.socks = port, data, initial, per_step, []
 
     async def __aenter__(self):
-        self.more(self.at_once)
-        self.task = asyncio.create_task(self.go_on())
+        self.connect_more(self.initial)
+        self.task = asyncio.create_task(self.keep_connecting())
         return self
 
     async def __aexit__(self, *_):
@@ -84,7 +84,7 @@
         for sock in self.socks:
             sock.close()
 
-    def more(self, count):
+    def connect_more(self, count):
         for _ in range(count):
             sock = socket.socket()
             sock.setblocking(False)
@@ -96,22 +96,22 @@
             try:
                 sock.send(self.data)
             except OSError:
-                pass  # turned away already
+                pass  # already rejected
         for sock in self.socks[:-1000]:
             sock.close()
         del self.socks[:-1000]
 
-    async def go_on(self):
+    async def keep_connecting(self):
         while True:
             await asyncio.sleep(0.02)
-            self.more(self.each)
+            self.connect_more(self.per_step)
 
 
 @story
 async def test_while_idle_clients_fill_all_and_discovery_is_down_what_was_taken_is_served_and_a_change_is_told():
     async with Apart(readers=2, writers=2, sockets=64, token_s=0.1) as world:
         await world.fill()
-        taken = asyncio.create_task(world.ask("taken"))
+        accepted = asyncio.create_task(world.ask("taken"))
         await world.until(lambda: any("taken" in entry for worker in world.writers for entry in worker.of("POST")))
         port = world.list.listener.port
         async with Flood(world.port):
@@ -120,9 +120,9 @@
             await asyncio.sleep(0.5)
             world.list.start(port)
             await world.until(lambda: "ready -> draining" in world.log(), 4.0)
-            assert (await taken)[0::3] == (200, True)
+            assert (await accepted)[0::3] == (200, True)
             assert (await world.ask("new"))[0] == 200
-        assert world.peak < 64  # at the limit, something else went without
+        assert world.peak < 64  # at the limit, some other open would have failed
 
 
 @story
@@ -145,41 +145,42 @@
         await other.stop()
 
 
-@pytest.mark.parametrize("data", [b"", HALF, b"\x00 noise\r\n\r\n"], ids=["silent", "half", "refused"])
+@pytest.mark.parametrize("data", [b"", HALF_REQUEST, b"\x00 noise\r\n\r\n"], ids=["silent", "half", "refused"])
 def test_a_usual_client_that_comes_into_a_flood_is_served(data):
     @story
-    async def told():
+    async def scenario():
         async with World(sockets=64) as world:
-            rests = await world.connect()
-            assert (await world.ask("q-0", rests))[0] == 200
-            async with Flood(world.port, data, at_once=60, each=1):
-                if data == HALF:
+            idle_client = await world.connect()
+            assert (await world.ask("q-0", idle_client))[0] == 200
+            async with Flood(world.port, data, initial=60, per_step=1):
+                if data == HALF_REQUEST:
                     await asyncio.sleep(0.15)
                 for number in range(12):
                     assert (await world.ask(f"q-{number + 1}"))[0] == 200
                     await asyncio.sleep(0.02)
-                assert (await world.ask("q-99", rests))[0] == 200  # others made room before one that asked
-            rests.close()
+                # other connections are closed before one that has sent a request
+                assert (await world.ask("q-99", idle_client))[0] == 200
+            idle_client.close()
 
-    told()
+    scenario()
 
 
 @story
 async def test_who_sent_a_request_that_was_not_read_yet_does_not_make_room():
     async with World(sockets=64) as world:
-        asks = [await world.connect() for _ in range(world.node.front.listener.max_connections)]
-        await world.until(lambda: len(world.node.front.idle_connections) == len(asks))
-        await asks[0].send(question("q-1"))
+        clients = [await world.connect() for _ in range(world.node.front.listener.max_connections)]
+        await world.until(lambda: len(world.node.front.idle_connections) == len(clients))
+        await clients[0].send(question("q-1"))
         front = world.node.front
-        assert all(front._make_room() for _ in asks[1:]) and not front._make_room()
-        assert (await answer(asks[0]))[0] == 200
-        assert await asks[1].receive() == await asks[-1].receive() == b""
-        for transport in asks:
+        assert all(front._make_room() for _ in clients[1:]) and not front._make_room()
+        assert (await answer(clients[0]))[0] == 200
+        assert await clients[1].receive() == await clients[-1].receive() == b""
+        for transport in clients:
             transport.close()
 
 
-async def rest_all(world, count):
-    """So many clients that asked once and rest for longer than they must be let."""
+async def idle_clients(world, count):
+    """Opens `count` clients that sent one request and have been idle for longer than the guaranteed time."""
     transports = [await world.connect() for _ in range(count)]
     await asyncio.gather(*(world.ask(f"q-{i}", transport) for i, transport in enumerate(transports)))
     for conn in world.node.front.idle_connections.values():
@@ -191,7 +192,7 @@
 async def test_clients_at_rest_make_room_before_one_that_just_came():
     async with World(sockets=64) as world:
         front = world.node.front
-        transports = await rest_all(world, 15)
+        transports = await idle_clients(world, 15)
         oldest = list(front.idle_connections)[:2]
         transports += [await world.connect() for _ in range(front.listener.max_connections - 15 + 2)]
         await world.until(lambda: len(front.new_connections) == len(transports) - 15)
@@ -205,8 +206,8 @@
 @story
 async def test_a_flood_of_silent_clients_does_not_end_those_at_rest():
     async with World(sockets=64) as world:
-        transports = await rest_all(world, 12)
-        async with Flood(world.port, each=5):
+        transports = await idle_clients(world, 12)
+        async with Flood(world.port, per_step=5):
             await asyncio.sleep(0.1)
             assert sum(conn.requests_served for conn in world.node.front.idle_connections.values()) == 12
         for transport in transports:
@@ -215,27 +216,27 @@
 
 @story
 async def test_a_flood_never_holds_more_clients_than_there_may_be():
-    most = []
+    open_counts = []
 
     async def serve(transport):
-        most.append(len(listener.tasks))
-        held[transport] = None
+        open_counts.append(len(listener.tasks))
+        open_transports[transport] = None
         await transport.receive()
-        await asyncio.sleep(0.01)  # its descriptor is free some turns after it was asked to leave
+        await asyncio.sleep(0.01)  # its descriptor becomes free a few loop iterations after the close
 
-    def make_room():
-        if held:
-            transport = next(iter(held))
-            del held[transport]
+    def free_connection():
+        if open_transports:
+            transport = next(iter(open_transports))
+            del open_transports[transport]
             transport.close()
             return True
         return False
 
-    held, listener = {}, Listener(serve, max_connections=4, free_capacity=make_room).start()
+    open_transports, listener = {}, Listener(serve, max_connections=4, free_capacity=free_connection).start()
     transports = [await connect("127.0.0.1", listener.port, 1.0) for _ in range(20)]
-    while len(most) < len(transports):
+    while len(open_counts) < len(transports):
         await asyncio.sleep(0.01)
-    assert max(most) == 4 and not listener.rejected
+    assert max(open_counts) == 4 and not listener.rejected
     for transport in transports:
         transport.close()
     await listener.stop()
@@ -249,31 +250,31 @@
         served.append(transport)
         await transport.receive()
 
-    def make_room():
+    def free_connection():
         served[0].close()
         return True
 
-    listener = Listener(serve, free_capacity=make_room).start()
-    first, late = await connect("127.0.0.1", listener.port, 1.0), socket.socket()
+    listener = Listener(serve, free_capacity=free_connection).start()
+    first, late_client = await connect("127.0.0.1", listener.port, 1.0), socket.socket()
     while not served:
         await asyncio.sleep(0.01)
     resource.setrlimit(resource.RLIMIT_NOFILE, (served[0].sock.fileno() + 1, limits[1]))
-    gaps = []
+    filler_descriptors = []
     try:
-        while True:  # all numbers below are taken
-            gaps.append(os.dup(0))
+        while True:  # uses up all lower descriptor numbers
+            filler_descriptors.append(os.dup(0))
     except OSError:
         pass
     try:
-        late.connect(("127.0.0.1", listener.port))
+        late_client.connect(("127.0.0.1", listener.port))
         async with asyncio.timeout(1):
             while len(served) < 2:
                 await asyncio.sleep(0.01)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-        for number in gaps:
+        for number in filler_descriptors:
             os.close(number)
-        late.close()
+        late_client.close()
         first.close()
         await listener.stop()
 
@@ -281,17 +282,17 @@
 # Connections to workers
 
 
-async def use_all(world, control=False):
-    """Takes connections until there is no room for one more."""
-    connections, taken = world.node.engines.workers[world.node.endpoints.workers.endpoints["s-w0"]].connections, []
+async def acquire_all(world, control=False):
+    """Acquires connections until the limit is reached."""
+    pool, acquired = world.node.engines.workers[world.node.endpoints.workers.endpoints["s-w0"]].connections, []
     try:
         while True:
-            taken.append(await connections.acquire(1.0, control=control))
+            acquired.append(await pool.acquire(1.0, control=control))
     except ConnectionLimitError:
-        return connections, taken
+        return pool, acquired
 
 
-def owe(world, name):
+def release_state(world, name):
     world.yard.add(name)
     world.node.engines.release(TrackedRequest(SimpleNamespace(name=name), None, None, 0), None, name)
 
@@ -299,65 +300,65 @@
 @story
 async def test_a_release_goes_out_while_requests_use_all_connections():
     async with World(sockets=64) as world:
-        connections, taken = await use_all(world)
-        owe(world, "q-1")
+        pool, acquired = await acquire_all(world)
+        release_state(world, "q-1")
         await world.until(lambda: not world.yard, 0.5)
-        for transport in taken:
-            connections.discard(transport)
+        for transport in acquired:
+            pool.discard(transport)
 
 
 @story
 async def test_idle_connections_do_not_let_requests_use_those_of_releases():
     async with World(sockets=64) as world:
-        connections, taken = await use_all(world, control=True)
-        for transport in taken:
-            connections.release(transport)
-        taken = (await use_all(world))[1]
-        owe(world, "q-1")
+        pool, acquired = await acquire_all(world, control=True)
+        for transport in acquired:
+            pool.release(transport)
+        acquired = (await acquire_all(world))[1]
+        release_state(world, "q-1")
         await world.until(lambda: not world.yard, 0.5)
-        for transport in taken:
-            connections.discard(transport)
+        for transport in acquired:
+            pool.discard(transport)
 
 
 @story
 async def test_a_release_that_finds_no_connection_waits_for_one():
     async with World(sockets=64) as world:
-        connections, taken = await use_all(world, control=True)
-        owe(world, "q-1")
-        await asyncio.sleep(0.4)  # eight tries would be over
-        connections.discard(taken.pop())
+        pool, acquired = await acquire_all(world, control=True)
+        release_state(world, "q-1")
+        await asyncio.sleep(0.4)  # longer than eight attempts would take
+        pool.discard(acquired.pop())
         await world.until(lambda: not world.yard, 0.5)
-        for transport in taken:
-            connections.discard(transport)
+        for transport in acquired:
+            pool.discard(transport)
 
 
 @story
 async def test_no_more_requests_are_taken_than_there_are_connections_for():
     async with World(sockets=64, token_s=0.1) as world:
-        asked = await asyncio.gather(*(world.ask(f"q-{i}", req_key=f"k{i}") for i in range(20)))
-        assert sorted(status for status, *_ in asked) == [200] * 16 + [503] * 4
+        responses = await asyncio.gather(*(world.ask(f"q-{i}", req_key=f"k{i}") for i in range(20)))
+        assert sorted(status for status, *_ in responses) == [200] * 16 + [503] * 4
         assert "all connections to workers are in use" not in world.lines.text
 
 
 # Limits
 
 
-def told_of(sockets):
+def config_with(sockets):
     return {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {"sockets": sockets}, "settings": SETTINGS}
 
 
 def test_a_limit_that_is_too_small_is_told_in_one_line():
     for sockets in (1, RESERVED_DESCRIPTORS, RESERVED_DESCRIPTORS + MIN_CONNECTIONS - 1, -5):
         with pytest.raises(ConfigurationError, match=rf"^configuration: limits.sockets: {sockets} .* 40 are needed$"):
-            Node(told_of(sockets), Log("n0", Quiet()))
-    assert Node(told_of(40), Log("n0", Quiet())).configuration.descriptors == 40
+            Node(config_with(sockets), Log("n0", Quiet()))
+    assert Node(config_with(40), Log("n0", Quiet())).configuration.descriptors == 40
 
 
 def test_the_systems_bound_counts_where_it_is_lower():
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (96, limits[1]))
     try:
-        assert Node(told_of(1024), Log("n0", Quiet())).configuration.descriptors == 96
+        assert Node(config_with(1024), Log("n0", Quiet())).configuration.descriptors == 96
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
 
@@ -365,13 +366,13 @@
 @pytest.mark.parametrize("sockets", [40, 64, 256, 1024])
 def test_the_parts_together_stay_within_the_limit(sockets):
     @story
-    async def told():
+    async def scenario():
         async with World(sockets=sockets) as world:
             node = world.node
             assert node.front.listener.max_connections + node.engines.budget.max_open + RESERVED_DESCRIPTORS <= sockets
             assert node.front.max_requests <= node.engines.budget.max_open - node.engines.budget.reserved
 
-    told()
+    scenario()
 
 
 # Bad clients
@@ -392,7 +393,7 @@
 @pytest.mark.parametrize("name", GONE)
 def test_who_sends_much_and_goes_leaves_nothing_behind(name, leave):
     @story
-    async def told():
+    async def scenario():
         async with World() as world:
             transports = [await world.connect() for _ in range(5)]
             sending = [asyncio.create_task(transport.send(GONE[name])) for transport in transports]
@@ -408,4 +409,4 @@
             await world.settled()
             assert (await world.ask("q-new"))[0] == 200 and "fault" not in world.lines.text
 
-    told()
+    scenario()
--- a/tests/test_held_state_clock.py
+++ b/tests/test_held_state_clock.py
@@ -1,4 +1,4 @@
-"""Term 6: a decode that may not have arrived does not stop the clock of the KV state that the prefill left."""
+"""A decode that may not have arrived does not suspend the release time limit of the prefill's KV state."""
 
 import asyncio
 import time
@@ -15,35 +15,35 @@
     for kind in ("lookup", "lodge"):
 
         @story
-        async def told(kind=kind):
+        async def scenario(kind=kind):
             async with World(writers=2, settings=PLAIN) as world:
-                written = []
+                started_at = []
 
-                async def hears_nothing(transport):
-                    if written:  # the other one, with the prompt read again
+                async def ignore_request(transport):
+                    if started_at:  # the other worker, after a second prefill
                         world.yard.discard("q-1")
                         await transport.send(GOOD)
                         return
-                    written.append(time.monotonic())
+                    started_at.append(time.monotonic())
                     await world.until(lambda: releases(world.workers))
                     await transport.send(GONE)
 
                 for writer in world.writers:
-                    writer.scripts.append(hears_nothing)
-                asking = asyncio.create_task(world.ask("q-1", req_kind=kind))
+                    writer.scripts.append(ignore_request)
+                response = asyncio.create_task(world.ask("q-1", req_kind=kind))
                 await world.until(lambda: releases(world.workers))
-                assert time.monotonic() - written[0] < RELEASE_S + SLACK_S
-                assert (await asking)[2:] == (WHOLE, True)  # it never ran: the prompt is read again
+                assert time.monotonic() - started_at[0] < RELEASE_S + SLACK_S
+                assert (await response)[2:] == (WHOLE, True)  # it never ran: the prefill is repeated
                 await world.settled()
 
-        told()
+        scenario()
 
 
 @pytest.mark.parametrize("kind", ["lookup", "lodge"])
 def test_a_decode_that_waits_for_its_turn_is_not_given_up_for_the_release(kind):
     @story
-    async def told():
-        async with World(settings=SETTINGS) as world:  # with probes: its worker is known to live
+    async def scenario():
+        async with World(settings=SETTINGS) as world:  # probes show that its worker is alive
 
             async def slow(transport):
                 await asyncio.sleep(RELEASE_S + SLACK_S)
@@ -55,7 +55,7 @@
             assert len(world.readers[0].of("POST")) == 1
             await world.settled()
 
-    told()
+    scenario()
 
 
 @story
--- a/tests/test_held_state_given_up.py
+++ b/tests/test_held_state_given_up.py
@@ -1,6 +1,6 @@
-"""Rule 5 where a decode arrived, waited for its KV state longer than that may be held, and was given up unanswered.
+"""KV state is released in time although its decode waits past the release time limit and is given up without a response.
 
-The release that goes out beside it frees nothing, as the decode waits for the state; one more is owed behind its end.
+The release sent while the decode is open frees nothing, as the decode waits for the state; another must follow its end.
 """
 
 import asyncio
@@ -9,33 +9,33 @@
 
 from platform_rig import SETTINGS, World, question
 from rig import story
-from test_race_handover import RELEASE_S, SLACK_S, releases, until_over
+from test_race_handover import RELEASE_S, SLACK_S, releases, until_closed
 
 from ramppulley.standin.platform import GOOD
 
 NO_PROBES = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False, "ConnectTimeoutS": 2.0}}
-CLOSE_SEEN_AFTER_S = (0.0, 0.1, 0.9)  # a busy or hung worker sees late that its router closed
+CLOSE_SEEN_AFTER_S = (0.0, 0.1, 0.9)  # a busy or hung worker sees the close of the connection late
 
 
 class StuckDecode:
-    """A decode that arrives waits for its turn until its worker sees that the router closed, so long after the close."""
+    """A decode that waits in its worker's queue until the worker sees the close, `close_seen_after_s` after it happened."""
 
     def __init__(self, world, close_seen_after_s):
         self.world, self.close_seen_after_s, self.ended_at = world, close_seen_after_s, None
-        world.writers[0].scripts.append(self.play)
+        world.writers[0].scripts.append(self.serve)
 
-    async def play(self, transport):
+    async def serve(self, transport):
         with self.world.yard.waiting("q-1"):
-            await until_over(transport)
+            await until_closed(transport)
             await asyncio.sleep(self.close_seen_after_s)
         self.ended_at = time.monotonic()
 
     async def state_released_in_time(self):
         await self.world.until(lambda: self.ended_at)
         await asyncio.sleep(max(0.0, self.ended_at + RELEASE_S + SLACK_S - time.monotonic()))
-        held = "q-1" in self.world.yard
+        still_held = "q-1" in self.world.yard
         self.world.yard.clear()
-        return not held
+        return not still_held
 
 
 async def runs_out_of_time(kind, close_seen_after_s):
@@ -47,17 +47,17 @@
 
 
 async def worker_falls_suspect(kind, close_seen_after_s):
-    """The request goes on, and waits in line: no other decode worker is there."""
+    """The request continues in the queue: there is no other decode worker."""
     async with World(settings=NO_PROBES) as world:
         decode = StuckDecode(world, close_seen_after_s)
-        asking = asyncio.create_task(world.ask("q-1", req_kind=kind, req_deadline_ms="3000"))
-        await world.until(lambda: releases(world.workers))  # the one beside the decode
+        response = asyncio.create_task(world.ask("q-1", req_kind=kind, req_deadline_ms="3000"))
+        await world.until(lambda: releases(world.workers))  # the release sent while the decode is open
         (tracked,) = world.node.core.requests.values()
         decode_worker = world.node.core.router.workers[tracked.attempts[-1].endpoint]
         decode_worker.doubt("silent", True)
         decode_worker.half_open_at += 10**6
         released = await decode.state_released_in_time()
-        await asking
+        await response
         return released
 
 
@@ -98,7 +98,7 @@
 
 @story
 async def test_a_state_is_released_in_time_where_the_answer_that_declined_its_decode_was_lost():
-    """The decode waited past the release beside it and was declined; its router hears nothing, and goes on waiting."""
+    """The decode outlasts the first release and is declined; the response is lost, so the router keeps waiting."""
     async with World(settings=NO_PROBES) as world:
         declined_at = []
 
@@ -106,13 +106,13 @@
             with world.yard.waiting("q-1"):
                 await asyncio.sleep(RELEASE_S + SLACK_S)
             declined_at.append(time.monotonic())
-            await until_over(transport)
+            await until_closed(transport)
 
         world.writers[0].scripts.append(decline_unheard)
-        asking = asyncio.create_task(world.ask("q-1", req_kind="lodge", req_deadline_ms="3500"))
+        response = asyncio.create_task(world.ask("q-1", req_kind="lodge", req_deadline_ms="3500"))
         await world.until(lambda: declined_at)
         await asyncio.sleep(RELEASE_S + SLACK_S)
-        held = "q-1" in world.yard
-        await asking
+        still_held = "q-1" in world.yard
+        await response
         world.yard.clear()
-        assert not held
+        assert not still_held
--- a/tests/test_race_attempts.py
+++ b/tests/test_race_attempts.py
@@ -1,4 +1,4 @@
-"""Orders of events around repeated attempts that are rare in service, each forced over real connections."""
+"""Races around repeated attempts that are rare in production, each forced over real connections."""
 
 import asyncio
 import socket
@@ -15,31 +15,31 @@
 
 WHOLE = b"".join(EVENTS)
 DECLINED = http.answer(503, {"srv-declined": "1"})
-READ = http.answer(202, {}, b"{}")
-# no probe opens a connection, and a busy machine does not fail one
+PREFILL_RESPONSE = http.answer(202, {}, b"{}")
+# no probe opens a connection, and connects on a busy machine do not time out
 PLAIN = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False, "ConnectTimeoutS": 2.0}}
-HELD = 0.15  # seconds of a handshake: the module gives up a prefill that is silent for 0.6
-LARGE = b'{"model":"chat","stream":true,"messages":[' + b" " * 250_000 + b"]}"  # more than a socket takes unread
+HANDSHAKE_S = 0.15  # duration of a handshake: a prefill that is silent for 0.6 s is given up
+LARGE_BODY = b'{"model":"chat","stream":true,"messages":[' + b" " * 250_000 + b"]}"  # exceeds the socket buffers
 
 
-def connections(world, worker):
-    """The router's connections to this worker."""
+def pool_of(world, worker):
+    """The router's connection pool for this worker."""
     return world.node.engines.workers[world.node.endpoints.workers.endpoints[worker.name]].connections
 
 
-def age(idle, seconds):
-    """As if the idle connections had been idle for so much longer."""
-    for _ in range(len(idle.idle)):
-        transport, since = idle.idle.popleft()
-        idle.idle.append(IdleConnection(transport, since - seconds))
+def backdate(pool, seconds):
+    """Makes the idle connections look idle for `seconds` longer."""
+    for _ in range(len(pool.idle)):
+        transport, since = pool.idle.popleft()
+        pool.idle.append(IdleConnection(transport, since - seconds))
 
 
-def posts(workers):
+def posted_ids(workers):
     return [entry[2] for worker in workers for entry in worker.of("POST")]
 
 
-def under_way(world):
-    """How far each attempt that is out has come, and its worker's role."""
+def stages_of_open_attempts(world):
+    """Stage and worker role of each open attempt."""
     return [
         (attempt.stage, attempt.endpoint.role)
         for tracked in world.node.core.requests.values()
@@ -47,12 +47,12 @@
     ]
 
 
-async def idle_after(world, name, worker):
-    """Serves one request and returns the worker's connections, of which one is idle then."""
+async def serve_then_idle(world, name, worker):
+    """Serves one request; returns the worker's pool, which then has one idle connection."""
     assert (await world.ask(name))[0] == 200
-    kept = connections(world, worker)
-    await world.until(lambda: len(kept.idle) == 1)
-    return kept
+    pool = pool_of(world, worker)
+    await world.until(lambda: len(pool.idle) == 1)
+    return pool
 
 
 # The deadline
@@ -61,28 +61,28 @@
 @pytest.mark.parametrize("first", ["the deadline", "the outcome"])
 def test_an_outcome_and_the_deadline_in_one_turn_cause_no_further_attempt(first):
     @story
-    async def told():
+    async def scenario():
         async with World(readers=2, settings=PLAIN) as world:
             engines = world.node.engines
 
             async def decline(transport):
                 transport.sock.send(DECLINED)
                 if first == "the deadline":
-                    stand_still(0.25)  # timers run first
+                    stand_still(0.25)  # the expired timers run first
 
-            def late_over(core, attempt, end, over=engines._attempt_ended):
+            def delayed_attempt_ended(core, attempt, result, attempt_ended=engines._attempt_ended):
                 if first == "the outcome":
-                    stand_still(0.25)  # the outcome is told after the deadline, and before its reminder
-                over(core, attempt, end)
+                    stand_still(0.25)  # the outcome is reported after the deadline but before its timer runs
+                attempt_ended(core, attempt, result)
 
-            engines._attempt_ended = late_over
+            engines._attempt_ended = delayed_attempt_ended
             for reader in world.readers:
                 reader.scripts.append(decline)
             status, *_ = await world.ask("q-1", req_deadline_ms="200")
             await world.settled()
-            assert status == 503 and posts(world.readers) == ["q-1"]
+            assert status == 503 and posted_ids(world.readers) == ["q-1"]
 
-    told()
+    scenario()
 
 
 @story
@@ -90,84 +90,84 @@
     async with World(settings=PLAIN) as world:
         engines = world.node.engines
 
-        def late_request(attempt, kept, request=engines._build_request):
+        def slow_build_request(attempt, pool, build_request=engines._build_request):
             stand_still(0.25)
-            return request(attempt, kept)
+            return build_request(attempt, pool)
 
-        engines._build_request = late_request
+        engines._build_request = slow_build_request
         status, *_ = await world.ask("q-1", req_deadline_ms="200")
         await world.settled()
-        assert status == 503 and not posts(world.workers)
+        assert status == 503 and not posted_ids(world.workers)
 
 
 @story
 async def test_a_time_out_shorter_than_a_handshake_may_take_says_nothing_of_the_worker():
-    hurried = PLAIN | {"Lanes": [lane | {"AimS": 0.05} for lane in PLAIN["Lanes"]]}
-    async with World(settings=hurried) as world:
+    short_timeouts = PLAIN | {"Lanes": [lane | {"AimS": 0.05} for lane in PLAIN["Lanes"]]}
+    async with World(settings=short_timeouts) as world:
         world.readers[0].cut_off()
         status, *_ = await world.ask("q-1", req_deadline_ms="600")
         await world.settled()
         assert status == 503 and "doubted" not in world.lines.text
 
 
-@pytest.mark.parametrize("role, deadline, time_out", [("read", 2500, 2500), ("write", 9000, 3010)])
-def test_the_time_told_to_a_worker_is_what_is_left_after_the_handshake(role, deadline, time_out):
-    """2,500 ms: the deadline ends the attempt; 9,000 ms: its own time-out, twice the latency target, does."""
+@pytest.mark.parametrize("role, deadline, timeout", [("read", 2500, 2500), ("write", 9000, 3010)])
+def test_the_time_told_to_a_worker_is_what_is_left_after_the_handshake(role, deadline, timeout):
+    """At 2,500 ms the deadline ends the attempt; at 9,000 ms its own timeout does, twice the latency target."""
 
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
             worker = (world.readers if role == "read" else world.writers)[0]
-            kept, come_up = connections(world, worker), asyncio.Event()
+            pool, may_connect = pool_of(world, worker), asyncio.Event()
 
-            async def held(within, open_one=kept._open):
-                await come_up.wait()
-                return await open_one(within)
+            async def delayed_open(timeout_s, open_connection=pool._open):
+                await may_connect.wait()
+                return await open_connection(timeout_s)
 
-            kept._open = held
-            asking = asyncio.create_task(world.ask("q-1", req_deadline_ms=str(deadline)))
-            await world.until(lambda: ("connect", role) in under_way(world))
-            await asyncio.sleep(HELD)
-            come_up.set()
-            assert (await asking)[0] == 200
-            told = [limit for limit, entry in zip(worker.limits, worker.log) if entry[0] == "POST"]
-            assert int(told[0]) <= time_out - 1000 * HELD
+            pool._open = delayed_open
+            response = asyncio.create_task(world.ask("q-1", req_deadline_ms=str(deadline)))
+            await world.until(lambda: ("connect", role) in stages_of_open_attempts(world))
+            await asyncio.sleep(HANDSHAKE_S)
+            may_connect.set()
+            assert (await response)[0] == 200
+            limits = [limit for limit, entry in zip(worker.limits, worker.log) if entry[0] == "POST"]
+            assert int(limits[0]) <= timeout - 1000 * HANDSHAKE_S
 
-    told()
+    scenario()
 
 
-# A second answer on an idle connection
+# A second response on an idle connection
 
 
 @pytest.mark.parametrize("second", [DECLINED, GOOD, DECLINED[:20]], ids=["declined", "a stream", "half an answer"])
 @pytest.mark.parametrize("kind", ["lookup", "lodge"])
 def test_a_second_answer_that_comes_before_the_next_request_is_not_taken_for_its_answer(kind, second):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
             writer = world.writers[0]
 
-            async def twice(transport):
+            async def respond_twice(transport):
                 world.yard.discard("q-1")
                 await transport.send(GOOD)
-                await world.until(lambda: connections(world, writer).idle)
+                await world.until(lambda: pool_of(world, writer).idle)
                 transport.sock.send(second)
 
-            writer.scripts.append(twice)
-            kept = await idle_after(world, "q-1", writer)
-            await world.until(kept.idle[0][0].has_unread_bytes)
-            age(kept, 1.0)
+            writer.scripts.append(respond_twice)
+            pool = await serve_then_idle(world, "q-1", writer)
+            await world.until(pool.idle[0][0].has_unread_bytes)
+            backdate(pool, 1.0)
             assert (await world.ask("q-2", req_kind=kind))[2:] == (WHOLE, True)
-            assert posts(world.writers) == ["q-1", "q-2"] and writer.connections == 2
+            assert posted_ids(world.writers) == ["q-1", "q-2"] and writer.connections == 2
 
-    told()
+    scenario()
 
 
 def declines(transport):
     transport.sock.send(DECLINED)
 
 
-def answers_half(transport):
+def sends_half_response(transport):
     transport.sock.send(DECLINED[:20])
 
 
@@ -179,73 +179,72 @@
     transport.reset()
 
 
-@pytest.mark.parametrize("spoil", [declines, answers_half, ends, resets])
-def test_what_comes_before_a_requests_last_byte_on_an_idle_connection_has_it_written_on_another(spoil):
+@pytest.mark.parametrize("misbehave", [declines, sends_half_response, ends, resets])
+def test_what_comes_before_a_requests_last_byte_on_an_idle_connection_has_it_written_on_another(misbehave):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
             writer = world.writers[0]
 
-            async def first(transport):
+            async def respond_first(transport):
                 world.yard.discard("q-1")
                 await transport.send(GOOD)
-                await world.until(
-                    transport.has_unread_bytes
-                )  # the next request has begun; as nobody reads, it cannot end
-                spoil(transport)
-
-            writer.scripts.append(first)
-            kept = await idle_after(world, "q-1", writer)
-            kept.idle[0][0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            age(kept, 1.0)
+                # the next request has started; as nothing is read, it cannot be written completely
+                await world.until(transport.has_unread_bytes)
+                misbehave(transport)
+
+            writer.scripts.append(respond_first)
+            pool = await serve_then_idle(world, "q-1", writer)
+            pool.idle[0][0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            backdate(pool, 1.0)
             transport = await world.connect()
-            await transport.send(question("q-2", LARGE, req_kind="lodge"))
+            await transport.send(question("q-2", LARGE_BODY, req_kind="lodge"))
             assert (await answer(transport))[2:] == (WHOLE, True)
             transport.close()
             await world.settled()
-            assert posts(world.writers) == ["q-1", "q-2"] and writer.connections == 2
+            assert posted_ids(world.writers) == ["q-1", "q-2"] and writer.connections == 2
             assert "doubted" not in world.lines.text
 
-    told()
+    scenario()
 
 
 @story
 async def test_a_second_answer_after_the_write_cannot_have_an_unsafe_request_refused_while_it_runs():
     async with World(settings=PLAIN) as world:
-        writer, came, tasks = world.writers[0], asyncio.Event(), []
+        writer, sent, tasks = world.writers[0], asyncio.Event(), []
 
-        async def first(transport):
+        async def respond_first(transport):
             async def second():
                 await world.until(lambda: len(writer.of("POST")) == 2)
                 transport.sock.send(DECLINED)
-                came.set()
+                sent.set()
 
             world.yard.discard("q-1")
             await transport.send(GOOD)
             tasks.append(asyncio.create_task(second()))
 
-        async def true_answer(transport):
-            await came.wait()
+        async def respond(transport):
+            await sent.wait()
             world.yard.discard("q-2")
             await transport.send(GOOD)
 
-        writer.scripts.extend([first, true_answer])
-        kept = await idle_after(world, "q-1", writer)
-        age(kept, (MIN_IDLE_S + MIN_IDLE_UNSAFE_S) / 3)
+        writer.scripts.extend([respond_first, respond])
+        pool = await serve_then_idle(world, "q-1", writer)
+        backdate(pool, (MIN_IDLE_S + MIN_IDLE_UNSAFE_S) / 3)
         status, _, body, _ = await world.ask("q-2", req_kind="lodge")
         await asyncio.gather(*tasks)
-        assert (status, body) == (200, WHOLE) and posts(world.writers) == ["q-1", "q-2"]
+        assert (status, body) == (200, WHOLE) and posted_ids(world.writers) == ["q-1", "q-2"]
 
 
 @story
 async def test_an_unsafe_request_uses_a_connection_that_was_idle_for_long():
     async with World(settings=PLAIN) as world:
-        kept = await idle_after(world, "q-1", world.writers[0])
-        age(kept, MIN_IDLE_UNSAFE_S)
+        pool = await serve_then_idle(world, "q-1", world.writers[0])
+        backdate(pool, MIN_IDLE_UNSAFE_S)
         assert (await world.ask("q-2", req_kind="lodge"))[0] == 200 and world.writers[0].connections == 1
 
 
-# Answers that do not end
+# Responses that do not end
 
 
 def endless(head, piece):
@@ -272,97 +271,97 @@
 }
 
 
-@pytest.mark.parametrize("what", ENDLESS)
-def test_an_answer_that_does_not_end_is_given_up_by_the_deadline(what):
+@pytest.mark.parametrize("name", ENDLESS)
+def test_an_answer_that_does_not_end_is_given_up_by_the_deadline(name):
     @story
-    async def told():
-        role, head, piece = ENDLESS[what]
+    async def scenario():
+        role, head, piece = ENDLESS[name]
         async with World(settings=PLAIN) as world:
             worker = (world.readers if role == "read" else world.writers)[0]
             worker.scripts.extend([endless(head, piece)] * 4)
-            began, deadline = time.monotonic(), 250 if role == "read" else 500  # the decode begins before
+            began, deadline = time.monotonic(), 250 if role == "read" else 500  # enough for the decode to start
             status, *_ = await world.ask("q-1", req_kind="lodge", req_deadline_ms=str(deadline))
             assert 0.8 * deadline < 1000 * (time.monotonic() - began) < deadline + 750
             assert status == (503 if role == "read" else 504) and len(worker.of("POST")) == 1
             await world.settled()
 
-    told()
+    scenario()
 
 
-# Time-outs and cancels that cross an answer
+# Timeouts and cancellations that cross a response
 
 
-@pytest.mark.parametrize("leaves", [False, True], ids=["the time-out", "the client's close"])
-def test_a_read_that_ends_in_the_turn_in_which_it_is_given_up_leaves_nothing(leaves):
+@pytest.mark.parametrize("client_closes", [False, True], ids=["the time-out", "the client's close"])
+def test_a_read_that_ends_in_the_turn_in_which_it_is_given_up_leaves_nothing(client_closes):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
             transport = await world.connect()
 
-            async def read(to):
+            async def prefill(connection):
                 world.yard.add("q-1")
-                to.sock.send(READ)
-                if leaves:
+                connection.sock.send(PREFILL_RESPONSE)
+                if client_closes:
                     transport.close()
                 stand_still(0.25)
 
-            world.readers[0].scripts.append(read)
+            world.readers[0].scripts.append(prefill)
             await transport.send(question("q-1", req_deadline_ms="200"))
-            if not leaves:
+            if not client_closes:
                 assert (await answer(transport))[0] == 503
-                assert (await world.ask("q-2", transport))[2:] == (WHOLE, True)  # nothing came after the final answer
+                assert (await world.ask("q-2", transport))[2:] == (WHOLE, True)  # no data follows the final answer
                 transport.close()
             await world.settled()
-            assert "q-1" not in posts(world.writers)
+            assert "q-1" not in posted_ids(world.writers)
 
-    told()
+    scenario()
 
 
 @pytest.mark.parametrize("turns", range(5))
 def test_a_cancel_at_each_turn_after_a_reads_answer_leaves_nothing(turns):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
-            core, given_up = world.node.core, asyncio.Event()
+            core, cancelled = world.node.core, asyncio.Event()
 
-            async def read(transport):
+            async def prefill(transport):
                 (tracked,) = core.requests.values()
                 world.yard.add("q-1")
-                transport.sock.send(READ)
+                transport.sock.send(PREFILL_RESPONSE)
                 for _ in range(turns):
                     await asyncio.sleep(0)
                 core.client_left(tracked)
-                given_up.set()
+                cancelled.set()
 
-            world.readers[0].scripts.append(read)
-            asking = asyncio.create_task(world.ask("q-1"))
-            await given_up.wait()
+            world.readers[0].scripts.append(prefill)
+            response = asyncio.create_task(world.ask("q-1"))
+            await cancelled.wait()
             await world.settled()
-            await asyncio.gather(asking, return_exceptions=True)
+            await asyncio.gather(response, return_exceptions=True)
 
-    told()
+    scenario()
 
 
 @pytest.mark.parametrize("kind, status", [("lookup", 503), ("lodge", 504)])
 def test_a_first_token_in_the_turn_of_the_time_out_gets_one_final_answer(kind, status):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
 
-            async def write(transport):
+            async def decode(transport):
                 world.yard.discard("q-1")
                 transport.sock.send(HEAD + http.chunk(EVENTS[0]))
                 stand_still(0.45)
 
-            world.writers[0].scripts.append(write)
+            world.writers[0].scripts.append(decode)
             transport = await world.connect()
             assert (await world.ask("q-1", transport, req_kind=kind, req_deadline_ms="400"))[0] == status
-            assert (await world.ask("q-2", transport))[2:] == (WHOLE, True)  # nothing came after the final answer
+            assert (await world.ask("q-2", transport))[2:] == (WHOLE, True)  # no data follows the final answer
             transport.close()
             await world.settled()
-            assert posts(world.writers) == ["q-1", "q-2"]
+            assert posted_ids(world.writers) == ["q-1", "q-2"]
 
-    told()
+    scenario()
 
 
 # Repeats of a request id
@@ -371,23 +370,23 @@
 @pytest.mark.parametrize("turns", range(6))
 def test_a_repeat_of_an_id_in_the_turns_in_which_the_first_ends_is_refused(turns):
     @story
-    async def told():
+    async def scenario():
         async with World(settings=PLAIN) as world:
-            again = await world.connect()
+            second_client = await world.connect()
 
-            async def write(transport):
+            async def decode(transport):
                 world.yard.discard("q-1")
                 transport.sock.send(GOOD)
                 for _ in range(turns):
                     await asyncio.sleep(0)
-                again.sock.send(question("q-1"))
+                second_client.sock.send(question("q-1"))
 
-            world.writers[0].scripts.append(write)
-            status, repeated = (await world.ask("q-1"))[0], (await answer(again))[0]
-            again.close()
-            assert (status, repeated) == (200, 409) and posts(world.writers) == ["q-1"]
+            world.writers[0].scripts.append(decode)
+            status, repeated = (await world.ask("q-1"))[0], (await answer(second_client))[0]
+            second_client.close()
+            assert (status, repeated) == (200, 409) and posted_ids(world.writers) == ["q-1"]
 
-    told()
+    scenario()
 
 
 @story
@@ -419,7 +418,7 @@
             writer.scripts.append(reset_the_connection)
         assert (await world.ask("q-1", req_kind="lodge"))[0] == 504
         await world.settled()
-        assert posts(world.writers) == ["q-1"]
+        assert posted_ids(world.writers) == ["q-1"]
 
 
 @story
@@ -427,27 +426,26 @@
     async with World(writers=2, settings=PLAIN) as world:
         broken = []
         for writer in world.writers:
-            serve, opened = writer.listener.serve, connections(world, writer)
+            serve, pool = writer.listener.serve, pool_of(world, writer)
 
-            async def breaks_first(transport, serve=serve):
+            async def reset_first(transport, serve=serve):
                 if not broken:
                     broken.append(transport)
-                    await world.until(
-                        transport.has_unread_bytes
-                    )  # the first bytes have come; as nobody reads, the last cannot
+                    # the first bytes have arrived; as nothing is read, the last one cannot be written
+                    await world.until(transport.has_unread_bytes)
                     transport.reset()
                     return
                 await serve(transport)
 
-            async def small(within, open_one=opened._open):
-                transport = await open_one(within)
+            async def open_with_small_buffer(timeout_s, open_connection=pool._open):
+                transport = await open_connection(timeout_s)
                 transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 return transport
 
-            writer.listener.serve, opened._open = breaks_first, small
+            writer.listener.serve, pool._open = reset_first, open_with_small_buffer
         transport = await world.connect()
-        await transport.send(question("q-1", LARGE, req_kind="lodge"))
+        await transport.send(question("q-1", LARGE_BODY, req_kind="lodge"))
         assert (await answer(transport))[2:] == (WHOLE, True)
         transport.close()
         await world.settled()
-        assert broken and posts(world.writers) == ["q-1"]
+        assert broken and posted_ids(world.writers) == ["q-1"]
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""Rule 5 where workers fall silent: what is held is let go within the settings' time, whoever was heard last."""
+"""KV state is released within the configured time although workers fall silent, whichever responded last."""
 
 import asyncio
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 
 from ramppulley.service.neutral import TrackedRequest
 
-WITHIN = 0.5  # Specifics.ReleaseS of the rig's settings
+RELEASE_S = 0.5  # Specifics.ReleaseS in the settings of platform_rig
 
 
 @story
@@ -26,28 +26,28 @@
         engines, ids = world.node.engines, world.node.endpoints.workers.ids
         endpoints = sorted(engines.workers, key=ids.get, reverse=True)
         workers = {worker.name: worker for worker in world.workers}
-        for endpoint in endpoints[-1:] + endpoints[:-1]:  # the reader first, so that it was heard longest ago
+        for endpoint in endpoints[-1:] + endpoints[:-1]:  # the prefill worker first: its response is the least recent
             engines.record_response(endpoint)
         for endpoint in endpoints[::-1][:silent]:
             workers[ids[endpoint]].takes = 5.0
         for endpoint in endpoints[::-1]:
             engines.record_response(endpoint)
         for endpoint in endpoints[::-1][:silent]:
-            engines.record_response(endpoint)  # a cut: heard last, and silent since
+            engines.record_response(endpoint)  # most recent responders, now unreachable
         world.yard.add("q-1")
         release = asyncio.create_task(engines.releases.run("q-1", 0.0))
-        await asyncio.wait({release}, timeout=WITHIN)
-        late = "q-1" in world.yard
+        await asyncio.wait({release}, timeout=RELEASE_S)
+        still_held = "q-1" in world.yard
         for worker in world.workers:
             worker.takes = 0.0
         await release
         world.yard.discard("q-1")
-        assert not late
+        assert not still_held
 
 
 @story
 async def test_a_release_that_nobody_took_is_repeated_until_somebody_does():
-    """A cut that is longer than all calls of one release: what is held has no other end."""
+    """A partition that outlasts all calls of one release: nothing else frees the KV state."""
     async with World() as world:
         tracked = TrackedRequest(SimpleNamespace(name="q-1"), None, None, 0)
         for worker in world.workers:
@@ -57,5 +57,5 @@
         await world.until(lambda: "no worker confirmed the release" in world.lines.text)
         for worker in world.workers:
             worker.takes = 0.0
-        await world.until(lambda: not world.yard, WITHIN + 0.3)
+        await world.until(lambda: not world.yard, RELEASE_S + 0.3)
         await world.until(lambda: not world.node.engines.has_releases())
