--- a/ramppulley/engines/platform/connector.py
+++ b/ramppulley/engines/platform/connector.py
@@ -42,7 +42,7 @@
     """Connector for all workers. `profile` gives their timeouts and how they report load."""
 
     def __init__(self, log: Any, profile: Any, budget: ConnectionBudget) -> None:
-        # above the total budget: waiting for a pool's capacity would never raise ConnectionLimitError
+        # One above the total budget, so that exhaustion raises ConnectionLimitError: a wait for a pool's capacity would not.
         super().__init__(log, budget.max_open + 1, 0.0, 0.0, budget)
         self.releases = KvReleases(log, self.workers, self._release_at, self._spawn, self._release_limit_s)
         self.configure(profile)
--- a/ramppulley/engines/reports.py
+++ b/ramppulley/engines/reports.py
@@ -37,7 +37,8 @@
 
 
 def parse_orca(text):
-    """
+    """Parses the value of an ORCA header; None if it holds no usable report.
+
     >>> parse_orca("TEXT named_metrics.kv_cache_usage_perc=0.5, named_metrics.num_requests_running=3").memory_share
     0.5
     >>> parse_orca('JSON {"named_metrics": {"num_requests_waiting": 2}}').held
@@ -65,7 +66,8 @@
 
 
 def parse_metrics(text):
-    """
+    """Parses Prometheus text; None if it holds no usable report.
+
     >>> parse_metrics('vllm:num_requests_running{model="m"} 2.0\\nvllm:kv_cache_usage_perc 0.25\\n').held
     2.0
     """
--- a/tests/test_stream_delay.py
+++ b/tests/test_stream_delay.py
@@ -39,8 +39,8 @@
 
     instances = []
 
-    def __init__(self, host, **given):
-        super().__init__(host, **given)
+    def __init__(self, host, **options):
+        super().__init__(host, **options)
         self.outcomes = []
         RecordingRouter.instances.append(self)
 
@@ -67,9 +67,9 @@
     async def __aexit__(self, *_):
         await self.world.__aexit__()
 
-    async def _answer(self, usual, transport, request, name):
+    async def _answer(self, default_answer, transport, request, name):
         if request.method != "POST":
-            return await usual(transport, request, name)
+            return await default_answer(transport, request, name)
         self.world.yard.discard(name)
         await self.respond(transport)
 
@@ -91,14 +91,14 @@
         await self.rig.__aenter__()
         for standin in self.rig.fleet.standins.values():
             standin.engine.kind = dataclasses.replace(standin.engine.kind, slots=512)
-            standin.generation.decode = self._write
+            standin.generation.decode = self._decode
         self.front, self.port = self.rig.daemon.front, self.rig.port
         return self
 
     async def __aexit__(self, *_):
         await self.rig.__aexit__()
 
-    async def _write(self, transport, entry, job, queue, body, path):
+    async def _decode(self, transport, entry, job, queue, body, path):
         while (await queue.get()).what != "token":
             pass
         entry.how = "answered"
@@ -165,10 +165,10 @@
 
     @pytest.mark.parametrize("side", [PlatformSide, OpenAISide], ids=["platform", "openai"])
     @functools.wraps(test)
-    def run(**given):
+    def run(**options):
         @story
         async def scenario():
-            await test(**given)
+            await test(**options)
 
         scenario()
 
