--- a/ramppulley/engines/attempts.py
+++ b/ramppulley/engines/attempts.py
@@ -226,9 +226,7 @@
             while not parser.done:
                 data = await transport.receive()
                 if not data:
-                    raise ConnectionResetError(
-                        errno.ECONNRESET, "the connection closed before the response was complete"
-                    )
+                    raise ConnectionResetError(errno.ECONNRESET, "the connection ended")
                 parser.feed(data)
         finally:
             parser.close()
@@ -237,11 +235,11 @@
     # One attempt
     def _result_of_task(self, attempt: EngineAttempt, task: asyncio.Task[AttemptResult]) -> AttemptResult:
         if task.cancelled():
-            return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "cancelled by the router")
+            return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "withdrawn")
         error = task.exception()
         if error is not None:  # a bug in the router: its progress is unknown, so the request may have run
             self.log.error("connector fault", question=attempt.tracked.request.name, error=repr(error))
-            return AttemptResult(door.FAULT, f"internal router error: {error!r}")
+            return AttemptResult(door.FAULT, f"a fault in the router: {error!r}")
         return task.result()
 
     def _listed_state(self, endpoint: door.Endpoint) -> ListedState | None:
@@ -349,7 +347,7 @@
         if isinstance(error, TimeoutError):
             limited_by_deadline = run.deadline_limits_connect and attempt.stage == Stage.CONNECT
             failure = Failure.CANCELLED if limited_by_deadline else Failure.TIMED_OUT
-            return AttemptResult(outcome_of(attempt.stage, failure), f"timed out in stage {attempt.stage}")
+            return AttemptResult(outcome_of(attempt.stage, failure), f"timed out, {attempt.stage}")
         reason = getattr(error, "strerror", None)
         if isinstance(error, ConnectionLimitError):  # a local limit, before any byte was written
             return AttemptResult(door.STALE, f"{attempt.stage}: {reason}")
@@ -362,7 +360,7 @@
     """For the log: how long a lost connection had been idle before this use."""
     if transport is None or transport.idle_before_use_s is None:
         return ""
-    return f", after {transport.idle_before_use_s * 1000:.0f} ms idle"
+    return f", after {transport.idle_before_use_s * 1000:.0f} ms at rest"
 
 
 def _min_idle_s(attempt: EngineAttempt) -> float:
--- a/ramppulley/engines/openai.py
+++ b/ramppulley/engines/openai.py
@@ -218,7 +218,7 @@
                 raise AttemptEndedError(
                     AttemptResult(
                         proof.outcome_of(attempt.stage, proof.Failure.LOST),
-                        f"{attempt.stage}: the connection closed",
+                        f"{attempt.stage}: the connection ended",
                         streams.report if streams else None,
                     )
                 )
@@ -255,7 +255,7 @@
                 return AttemptResult(door.NO_ROOM, f"status {parser.status}", report)
             if parser.status != 200:
                 return AttemptResult(door.FAULT, f"status {parser.status}", report)
-            raise BadMessage(f"response body is not valid JSON: {decode_error}") from decode_error
+            raise BadMessage(f"not JSON: {decode_error}") from decode_error
         error = decoded.get("error", decoded) if isinstance(decoded, dict) else {}
         code = str(error.get("code", "")) if isinstance(error, dict) else ""
         outcome = proof.status_outcome(parser.status, code, self.rejection_statuses, attempt.is_prefill)
@@ -263,17 +263,17 @@
             return AttemptResult(outcome, f"status {parser.status} {code}".strip(), report)
         if parser.status == 200:
             if not isinstance(decoded, dict):
-                raise BadMessage("response body is not a JSON object")
+                raise BadMessage("the answer is no object")
             usage = usage_of(decoded.get("usage"))
             if attempt.is_prefill:
                 state = decoded.get("kv_transfer_params")
                 if not isinstance(state, dict) or not state.get("do_remote_prefill"):
-                    raise BadMessage("prefill response has no kv_transfer_params")
+                    raise BadMessage("a read without kv_transfer_params")
                 return AttemptResult(door.READ, "", report, usage, state)
             if request.kind not in ONE_STAGE:
-                raise BadMessage("expected a stream, got a single response")
+                raise BadMessage("a stream was asked for")
             if not isinstance(decoded.get("data" if request.kind == EMBEDDINGS else "results"), list):
-                raise BadMessage("response has no list of results")
+                raise BadMessage("an answer without its list")
         else:
             usage = None
         return AttemptResult(
@@ -296,7 +296,7 @@
     async def feed(self, data):
         for event in self.splitter.feed(data):
             if self.done:
-                raise BadMessage("event after [DONE]")
+                raise BadMessage("an event after [DONE]")
             if event == sse.DONE:
                 self.done = True
                 if self.attempt.first_token_at is not None:
@@ -304,9 +304,7 @@
                 continue
             if event.startswith(b'{"error"'):
                 raise AttemptEndedError(
-                    AttemptResult(
-                        door.FAULT, f"engine sent an error event: {event[:200].decode('utf-8', 'replace')}", self.report
-                    )
+                    AttemptResult(door.FAULT, f"an error event: {event[:200].decode('utf-8', 'replace')}", self.report)
                 )
             only_usage = False
             if b'"usage":{' in event or b'"usage": {' in event or not event.startswith(b"{"):
@@ -323,7 +321,7 @@
         try:
             await self.attempt.tracked.sink.piece(event)
         except OSError:
-            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client disconnected", self.report)) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left", self.report)) from None
         self.stream_timeout.forwarding = False
 
     def _record_usage(self, event):
@@ -331,9 +329,9 @@
         try:
             decoded = msgspec.json.decode(event)
         except msgspec.DecodeError as error:
-            raise BadMessage(f"event is not valid JSON: {error}") from error
+            raise BadMessage(f"an event that is not JSON: {error}") from error
         if not isinstance(decoded, dict):
-            raise BadMessage("event is not a JSON object")
+            raise BadMessage("an event that is no object")
         self.usage = usage_of(decoded.get("usage")) or self.usage
         return decoded.get("choices") == []
 
@@ -341,5 +339,5 @@
         if not self.done:
             return AttemptResult(door.CUT, "the stream ended without [DONE]", self.report, self.usage)
         if self.attempt.first_token_at is None:
-            return AttemptResult(door.FAULT, "the stream ended without a token", self.report, self.usage)
+            return AttemptResult(door.FAULT, "a stream without a token", self.report, self.usage)
         return AttemptResult(door.DONE, "", self.report, self.usage)
--- a/ramppulley/engines/platform/connector.py
+++ b/ramppulley/engines/platform/connector.py
@@ -208,7 +208,7 @@
         data = await transport.receive()
         if not data:
             outcome = outcome_of(attempt.stage, Failure.LOST)
-            raise AttemptEndedError(AttemptResult(outcome, f"{attempt.stage}: the connection closed", response.report))
+            raise AttemptEndedError(AttemptResult(outcome, f"{attempt.stage}: the connection ended", response.report))
         try:
             parser.feed(data)
         except BadMessage:
@@ -225,7 +225,7 @@
             response.report = self._read_report(parser.headers[platform.REPORT])
         if parser.status == 200 and not attempt.is_prefill:
             if not parser.headers.get("content-type", "").startswith("text/event-stream"):
-                raise BadMessage("expected an event stream, got another content type")
+                raise BadMessage("a stream was asked for")
             response.stream = EventStream(core, attempt, stream_timeout)
 
     def _result_of_whole_response(self, attempt: EngineAttempt, response: Response) -> AttemptResult:
--- a/ramppulley/engines/platform/stream.py
+++ b/ramppulley/engines/platform/stream.py
@@ -44,14 +44,14 @@
         try:
             await self.attempt.tracked.sink.piece(events)
         except OSError:
-            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client disconnected")) from None
+            raise AttemptEndedError(AttemptResult(door.UNDONE, "the client left")) from None
         self.stream_timeout.forwarding = False
 
     async def finish(self, read_report: Callable[[bytes], door.LoadReport | None]) -> AttemptResult:
         """Forwards the rest and returns the result of a complete stream; `read_report` parses a load report."""
         rest = self.blocks.last()
         if self.attempt.first_token_at is None:
-            raise BadMessage("the stream ended without an event")
+            raise BadMessage("a stream without an event")
         if rest:
             await self._pass_on(rest)
         usage, report = None, None
