--- a/ramppulley/fronts/__init__.py
+++ b/ramppulley/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Clients in: each front parses, validates and makes one neutral question; none of them decides."""
+"""Client protocols. Each front parses and validates requests and passes them to the core; none makes routing decisions."""
--- a/ramppulley/fronts/client_connection.py
+++ b/ramppulley/fronts/client_connection.py
@@ -1,8 +1,8 @@
-"""One client's connection as all HTTP fronts have it: whole requests in, and its end.
+"""A client connection of the HTTP fronts: reads whole requests and closes the connection.
 
-A connection is ended here and nowhere else. Its reading side is never shut: an idle one ends by a last look for bytes
-and, where there are none, by a close in the same step of its task. So a request that came before the look is answered, and
-one that comes behind it is never read: the close resets the connection, and its client may safely send it again elsewhere.
+Connections are closed only here. The read side is never shut down: an idle connection is checked for received bytes a last
+time and, if there are none, closed without awaiting in between. A request that arrived before this check is answered. One
+that arrives later is never read: the close resets the connection, and the client may safely send the request elsewhere.
 """
 
 import asyncio
@@ -13,18 +13,17 @@
 from ramppulley.wire import http
 from ramppulley.wire.sockets import Transport
 
-STALLED_TIMEOUT_S = (
-    2.0  # without a byte within a request that has begun: its client is owed an answer 3 s after it stopped
-)
-LINGER_TIMEOUT_S, LINGER_MAX_BYTES = 0.4, 1 << 20  # how long, and how much of what, a client still sends is read
-SEND_SLICE_BYTES = 16 << 10  # a client has to take some of so many bytes within its time
+# maximum time without a byte within a request; a client that stops there must be answered within 3 s
+STALLED_TIMEOUT_S = 2.0
+LINGER_TIMEOUT_S, LINGER_MAX_BYTES = 0.4, 1 << 20  # limits on reading what a client still sends after its last answer
+SEND_SLICE_BYTES = 16 << 10  # the send timeout applies to each slice of this size
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 ClientConnections = dict[Transport, "ClientConnection"]
 
 
 async def send(transport: Transport, data: bytes, timeout_s: float) -> None:
-    """Sends all to a client; raises TimeoutError for one that has read nothing for `timeout_s` seconds: it has left."""
+    """Sends all data; raises TimeoutError if the client does not accept a slice within `timeout_s`: it counts as gone."""
     for begin in range(0, len(data), SEND_SLICE_BYTES):
         async with asyncio.timeout(timeout_s):
             await transport.send(data[begin : begin + SEND_SLICE_BYTES])
@@ -35,23 +34,23 @@
 
     def __init__(self, transport: Transport, parser: http.RequestParser) -> None:
         self.transport, self.parser, self.requests_served = transport, parser, 0
-        self.ending, self.finished = False, False
-        self.early_bytes = b""  # what came while a request waited for its answer, one buffer at most
-        self.waiting_since = 0.0  # for its next bytes
-        self.unanswered: http.Request | None = None  # read whole, its answer not ended
-        self.answer_begun = False  # its first byte may have gone out
+        self.end_requested, self.finished = False, False
+        self.early_bytes = b""  # received while a request waited for its answer; one buffer at most
+        self.waiting_since = 0.0  # when the wait for its next bytes began
+        self.unanswered: http.Request | None = None  # received completely, but not answered completely
+        self.answer_begun = False  # its first byte may have been sent
 
     def close(self) -> None:
-        """Frees the parser; the listener closes the socket."""
+        """Frees the parser. The listener closes the socket."""
         self.parser.close()
 
     def end(self) -> None:
-        """Asks the task that waits for this connection's bytes to end it, unless some have come."""
-        self.ending = True
+        """Asks the task that reads this connection to close it, unless bytes have arrived."""
+        self.end_requested = True
         self.transport.readable.wake()
 
-    def take(self) -> bytes | None:
-        """The bytes that came; b"" at the end, also after a reset; None where there are none."""
+    def receive_available(self) -> bytes | None:
+        """The bytes received; b"" at the end of the connection or after a reset; None if there are none."""
         try:
             return self.transport.receive_nowait()
         except OSError:
@@ -64,11 +63,11 @@
         idle_connections: ClientConnections,
         stopping: Callable[[], bool],
     ) -> http.Request | None:
-        """The next whole request; None at the end of the connection.
+        """The next whole request, or None at the end of the connection.
 
-        Raises TimeoutError after `idle_timeout_s` without a byte, `request_timeout_s` for a request that has begun, or
-        STALLED_TIMEOUT_S without a byte within it, and BadMessage. While it waits with nothing begun, it is in
-        `idle_connections`.
+        Raises BadMessage, and TimeoutError after `idle_timeout_s` without a byte, `request_timeout_s` from the start of
+        a request, or STALLED_TIMEOUT_S without a byte within a request. While the connection waits between requests, it
+        is in `idle_connections`.
         """
         loop, parser, began = asyncio.get_running_loop(), self.parser, None
         while not parser.ready:
@@ -79,7 +78,7 @@
                 if timeout_s <= 0:
                     raise TimeoutError
             elif stopping():
-                self.ending = True
+                self.end_requested = True
             data = await self._receive(timeout_s, {} if parser.begun else idle_connections)
             if not data:
                 return None
@@ -89,27 +88,27 @@
         return parser.ready.popleft()
 
     async def _confirm_expectation(self, timeout_s: float) -> None:
-        """Lets a client go on that waits for a word before it sends the body (Expect: 100-continue)."""
+        """Sends 100 Continue to a client that waits for it before it sends the body."""
         if self.parser.wants_continue and not self.parser.ready:
             self.parser.wants_continue = False
             await send(self.transport, CONTINUE, timeout_s)
 
     async def _receive(self, timeout_s: float, waiting: ClientConnections) -> bytes:
-        """The next bytes; b"" at the end of the connection or when it was asked to end; raises TimeoutError.
+        """The next bytes; b"" at the end of the connection or after `end()`; raises TimeoutError.
 
-        The last look comes after the time-out and after the demand to end: what came in that very turn counts."""
+        The socket is read once more after a timeout or `end()`, as bytes may have arrived in the same loop iteration."""
         loop = asyncio.get_running_loop()
         self.waiting_since = loop.time()
         deadline = self.waiting_since + timeout_s
         while True:
-            if not self.ending:
+            if not self.end_requested:
                 await self._wait_for_bytes(deadline - loop.time(), waiting)
             timed_out = loop.time() >= deadline
-            data = self.take()
+            data = self.receive_available()
             if permission.may_close_idle(bytes_waiting=data is not None) is not None:
-                self.ending = False
+                self.end_requested = False
                 return data or b""
-            if self.ending:
+            if self.end_requested:
                 return b""
             if timed_out:
                 raise TimeoutError
@@ -122,26 +121,26 @@
             waiting.pop(self.transport, None)
 
     async def wait_for(self, done: asyncio.Future[Any], timeout_s: float | None = None) -> bool:
-        """Waits for this future, or for the client to act before, or so many seconds: whether the client is still there.
-        It may have sent more."""
-        waits, arrival = {done}, None
-        if not self.early_bytes:  # else its next bytes stay unread
+        """Waits until `done` is done, the client sends bytes or closes, or the timeout expires. Returns whether the client
+        is still connected; bytes that it sent are in `early_bytes`."""
+        futures, arrival = {done}, None
+        if not self.early_bytes:  # the buffer is limited: further bytes stay in the socket
             arrival = self.transport.readable.wait()
-            waits.add(arrival)
-        await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+            futures.add(arrival)
+        await asyncio.wait(futures, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         if arrival is None or not arrival.done():
             return True
-        data = self.take()
+        data = self.receive_available()
         self.early_bytes = data or b""
         return data != b"" or done.done()
 
     def has_sent_more(self) -> bool:
-        """Whether its client has sent, and so may still be sending, more than the requests that were answered."""
+        """Whether the client has sent bytes beyond the answered requests, and so may still be sending."""
         return bool(self.early_bytes or self.parser.begun or self.parser.ready)
 
     async def finish(self, answer: bytes = b"") -> None:
-        """Sends the last answer and ends the connection so that the answer arrives though the client still sends: a close
-        over unread bytes would reset the connection, and what the client has not read yet would be lost."""
+        """Sends the last answer and shuts the connection down, while reading and discarding input for a limited time.
+        Closing with unread bytes would reset the connection, and the client could lose the answer."""
         if self.finished:
             return
         self.finished = True
@@ -149,15 +148,15 @@
             async with asyncio.timeout(LINGER_TIMEOUT_S):
                 await self.transport.send(answer)
                 self.transport.shutdown_write()
-                await self._drop_what_comes()
+                await self._discard_input()
         except (OSError, TimeoutError):
             pass
 
-    async def _drop_what_comes(self) -> None:
+    async def _discard_input(self) -> None:
         dropped_bytes = 0
-        while dropped_bytes < LINGER_MAX_BYTES and not self.ending:
+        while dropped_bytes < LINGER_MAX_BYTES and not self.end_requested:
             await asyncio.wait({self.transport.readable.wait()})
-            data = self.take()
+            data = self.receive_available()
             if data == b"":
                 return
             dropped_bytes += len(data or b"")
--- a/ramppulley/fronts/http/__init__.py
+++ b/ramppulley/fronts/http/__init__.py
@@ -1,1 +1,1 @@
-"""The OpenAI API over HTTP/1.1, and rerank beside it."""
+"""The front for the OpenAI API over HTTP/1.1, with an additional rerank API."""
--- a/ramppulley/fronts/http/answers.py
+++ b/ramppulley/fronts/http/answers.py
@@ -1,14 +1,14 @@
-"""Every final answer as HTTP: one table. Pure.
+"""Maps final answers to HTTP responses. Pure.
 
-| ending | status | `x-should-retry` |
+| result | status | `x-should-retry` |
 | --- | --- | --- |
-| completed | 200, or the engine's own 4xx on the request | - |
+| completed | 200, or a 4xx from the engine | - |
 | rejected before any attempt | 429, `Retry-After` | true |
 | rejected after attempts | 503, `Retry-After` | true |
-| failed, time up | 504 | false |
-| failed by a fault | 502 | false |
+| failed, deadline exceeded | 504 | false |
+| failed, fault of the router | 502 | false |
 
-`x-should-retry` is the header that the API's own clients heed: whether trying again is harmless.
+The API's official clients read `x-should-retry`: whether it is safe to retry.
 """
 
 import msgspec
@@ -24,7 +24,7 @@
 
 
 def retry_headers(retry_after):
-    """Seconds rounded up, as Retry-After has no parts (RFC 9110, 10.2.3), and the clients' own finer one.
+    """Retry-After in seconds, rounded up as it takes whole ones (RFC 9110, 10.2.3), and the clients' `retry-after-ms`.
 
     >>> retry_headers(2500)
     {'retry-after': '1', 'retry-after-ms': '250'}
@@ -32,13 +32,17 @@
     return {"retry-after": str(max(1, -(-retry_after // 10_000))), "retry-after-ms": str(max(1, retry_after // 10))}
 
 
-def answer_of(ending, attempts):
-    """(status, headers, body) of an ending other than a gathered or streamed answer."""
-    if ending.result == COMPLETED:
-        return ending.status, JSON, ending.body
-    headers = {**JSON, "x-should-retry": "true" if ending.retryable else "false"}
-    if ending.result == REJECTED:
+def answer_of(final_answer, attempts):
+    """(status, headers, body) for a final answer that is neither streamed nor aggregated from a stream."""
+    if final_answer.result == COMPLETED:
+        return final_answer.status, JSON, final_answer.body
+    headers = {**JSON, "x-should-retry": "true" if final_answer.retryable else "false"}
+    if final_answer.result == REJECTED:
         status, code = (503, "unavailable") if attempts else (429, "overloaded")
-        return status, headers | retry_headers(ending.retry_after), error(ending.reason, "turned_back", code)
-    status = 502 if "fault" in ending.reason else 504
-    return status, headers, error(ending.reason, "scrapped", "may_have_run")
+        return (
+            status,
+            headers | retry_headers(final_answer.retry_after),
+            error(final_answer.reason, "turned_back", code),
+        )
+    status = 502 if "fault" in final_answer.reason else 504
+    return status, headers, error(final_answer.reason, "scrapped", "may_have_run")
--- a/ramppulley/fronts/http/bodies.py
+++ b/ramppulley/fronts/http/bodies.py
@@ -1,4 +1,4 @@
-"""What the bodies must look like, as far as the router reads them; all else travels on untouched. Pure.
+"""Validates the fields of request bodies that the router uses; other fields are forwarded unchanged. Pure.
 
 Sources: the OpenAI API reference (chat completions, completions, embeddings); Jina and Cohere API references (rerank).
 """
@@ -8,8 +8,8 @@
 from ramppulley.service.neutral import CHAT, COMPLETION, EMBEDDINGS, RERANK
 from ramppulley.wire.faults import BadMessage
 
-TOKENS_MOST = 1_000_000  # asked for at once
-ITEMS_MOST = 8192  # inputs or documents of one question
+MAX_PARAMETER_VALUE = 1_000_000  # limit for numeric parameters
+MAX_ITEMS = 8192  # inputs or documents per request
 
 
 class StreamOptions(msgspec.Struct):
@@ -51,30 +51,30 @@
 
 
 BODIES = {CHAT: ChatBody, COMPLETION: CompletionBody, EMBEDDINGS: EmbeddingsBody, RERANK: RerankBody}
-MOST_OUT = 1024  # tokens reckoned with where a question names no most
+DEFAULT_MAX_OUTPUT_TOKENS = 1024  # assumed for requests without a limit of their own
 
 
-class Unfit(BadMessage):
-    """A body that cannot be used; `at` names the field."""
+class BodyError(BadMessage):
+    """An invalid body; `param` names the field."""
 
-    def __init__(self, text, at=None, status=400):
+    def __init__(self, text, param=None, status=400):
         super().__init__(text, status)
-        self.at = at
+        self.param = param
 
 
-def read(kind, raw):
-    """(the decoded body, the checked part of it). Raises Unfit with the field and what is wrong with it."""
+def decode(kind, raw):
+    """(decoded body, its validated fields). Raises BodyError with the field and the reason."""
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise Unfit(f"the body is not JSON: {fault}") from fault
+        raise BodyError(f"the body is not JSON: {fault}") from fault
     if not isinstance(body, dict):
-        raise Unfit("the body must be a JSON object")
+        raise BodyError("the body must be a JSON object")
     try:
         checked = msgspec.convert(body, BODIES[kind])
     except msgspec.ValidationError as fault:
-        text, _, at = str(fault).partition(" - at ")
-        raise Unfit(str(fault), at.strip("`$.") or (text.split("`")[1] if "missing" in text else None)) from fault
+        text, _, path = str(fault).partition(" - at ")
+        raise BodyError(str(fault), path.strip("`$.") or (text.split("`")[1] if "missing" in text else None)) from fault
     _check(kind, checked)
     return body, checked
 
@@ -82,37 +82,39 @@
 def _check(kind, body):
     for name in ("max_tokens", "max_completion_tokens", "dimensions", "top_n", "n"):
         value = getattr(body, name, None)
-        if value is not None and not 1 <= value <= TOKENS_MOST:
-            raise Unfit(f"{name} must lie between 1 and {TOKENS_MOST}", name)
+        if value is not None and not 1 <= value <= MAX_PARAMETER_VALUE:
+            raise BodyError(f"{name} must lie between 1 and {MAX_PARAMETER_VALUE}", name)
     if kind == CHAT and not body.messages:
-        raise Unfit("messages must not be empty", "messages")
+        raise BodyError("messages must not be empty", "messages")
     if kind == RERANK:
-        _items("documents", body.documents)
+        _check_items("documents", body.documents)
         for document in body.documents:
             if isinstance(document, dict) and not isinstance(document.get("text"), str):
-                raise Unfit("a document must be a text or an object with a text", "documents")
+                raise BodyError("a document must be a text or an object with a text", "documents")
     if kind == EMBEDDINGS:
-        _items("input", body.input)
+        _check_items("input", body.input)
         if body.encoding_format not in (None, "float", "base64"):
-            raise Unfit("encoding_format must be float or base64", "encoding_format")
+            raise BodyError("encoding_format must be float or base64", "encoding_format")
     if kind in (EMBEDDINGS, COMPLETION):
         given = body.input if kind == EMBEDDINGS else body.prompt
         if isinstance(given, list):
             name = "input" if kind == EMBEDDINGS else "prompt"
-            _items(name, given)
+            _check_items(name, given)
             if len({type(x) for x in given}) > 1:
-                raise Unfit(f"{name} must hold texts, tokens or token lists, not a mix", name)
+                raise BodyError(f"{name} must hold texts, tokens or token lists, not a mix", name)
 
 
-def _items(name, items):
+def _check_items(name, items):
     if not items:
-        raise Unfit(f"{name} must not be empty", name)
-    if isinstance(items, list) and not isinstance(items[0], int) and len(items) > ITEMS_MOST:
-        raise Unfit(f"{name} holds more than {ITEMS_MOST}", name)
+        raise BodyError(f"{name} must not be empty", name)
+    if isinstance(items, list) and not isinstance(items[0], int) and len(items) > MAX_ITEMS:
+        raise BodyError(f"{name} holds more than {MAX_ITEMS}", name)
 
 
-def most_out(kind, body):
-    """Tokens that the answer may have."""
+def max_output_tokens(kind, body):
+    """Maximum number of output tokens over all choices."""
     if kind not in (CHAT, COMPLETION):
         return 1
-    return (getattr(body, "max_completion_tokens", None) or body.max_tokens or MOST_OUT) * (body.n or 1)
+    return (getattr(body, "max_completion_tokens", None) or body.max_tokens or DEFAULT_MAX_OUTPUT_TOKENS) * (
+        body.n or 1
+    )
--- a/ramppulley/fronts/http/gather.py
+++ b/ramppulley/fronts/http/gather.py
@@ -1,7 +1,7 @@
-"""A stream's events gathered into one whole answer, for clients that did not ask for a stream. Pure.
+"""Aggregates the events of a stream to a whole answer, for clients that did not request a stream. Pure.
 
-Engines are always asked for a stream, as the first token's time is what the decisions go by. Deltas are merged by the
-rule of the API's own client: texts are joined, numbers and the like replaced, lists of objects with an index merged by it.
+Engines are always asked to stream, as routing decisions depend on the time of the first token. Deltas are merged as the
+API's official client does: strings are concatenated, other scalars replaced, lists of objects merged by their `index`.
 """
 
 import msgspec
@@ -9,8 +9,16 @@
 from ramppulley.service.neutral import CHAT
 from ramppulley.wire.faults import TooLarge
 
-ANSWER_MOST = 16 << 20  # bytes of events gathered for one answer
-WHOLE = {"role", "id", "type", "name", "finish_reason", "object", "model"}  # texts that are not joined
+MAX_ANSWER_BYTES = 16 << 20  # bytes of events aggregated for one answer
+REPLACED_FIELDS = {
+    "role",
+    "id",
+    "type",
+    "name",
+    "finish_reason",
+    "object",
+    "model",
+}  # string fields that are replaced, not concatenated
 
 
 def merge(into, delta):
@@ -23,7 +31,7 @@
     """
     for key, value in delta.items():
         old = into.get(key)
-        if isinstance(value, str) and isinstance(old, str) and key not in WHOLE:
+        if isinstance(value, str) and isinstance(old, str) and key not in REPLACED_FIELDS:
             into[key] = old + value
         elif isinstance(value, dict) and isinstance(old, dict):
             merge(old, value)
@@ -36,24 +44,24 @@
     return into
 
 
-class Gatherer:
-    """Events in, one answer out."""
+class StreamAggregator:
+    """Collects the events of one stream and builds the whole answer."""
 
     def __init__(self, kind):
         self.kind, self.top, self.choices, self.size = kind, {}, {}, 0
 
     def add(self, event):
-        """Raises TooLarge past ANSWER_MOST, and what msgspec raises on what is not JSON."""
+        """Adds an event; raises TooLarge beyond MAX_ANSWER_BYTES, and msgspec's exceptions if it is not valid JSON."""
         self.size += len(event)
-        if self.size > ANSWER_MOST:
-            raise TooLarge(f"the answer is over {ANSWER_MOST} bytes", 502)
-        told = msgspec.json.decode(event)
-        for choice in told.pop("choices", None) or []:
+        if self.size > MAX_ANSWER_BYTES:
+            raise TooLarge(f"the answer is over {MAX_ANSWER_BYTES} bytes", 502)
+        values = msgspec.json.decode(event)
+        for choice in values.pop("choices", None) or []:
             merge(self.choices.setdefault(choice.get("index", 0), {}), choice)
-        self.top.update((k, v) for k, v in told.items() if v is not None or k not in self.top)
+        self.top.update((k, v) for k, v in values.items() if v is not None or k not in self.top)
 
-    def whole(self):
-        """The answer as JSON bytes."""
+    def to_json(self):
+        """The whole answer as JSON bytes."""
         choices = []
         for index in sorted(self.choices):
             choice = self.choices[index]
--- a/ramppulley/fronts/http/server.py
+++ b/ramppulley/fronts/http/server.py
@@ -1,7 +1,7 @@
-"""The front's connections: requests in, neutral questions to the core, answers out.
+"""HTTP server for the OpenAI API: passes requests to the core and sends the answers.
 
-One task reads a connection's requests one by one; while a question is in the router the same task watches the socket, so
-that a client that leaves is noticed at every stage. Pipelined bytes wait, at most one buffer of them.
+One task per connection reads its requests one by one. While a request is in the router, the same task watches the socket, so
+that a client's disconnect is noticed at any time. Pipelined bytes are buffered, at most one buffer of them.
 """
 
 import itertools
@@ -12,7 +12,7 @@
 
 from ramppulley.fronts.client_connection import ClientConnection, send
 from ramppulley.fronts.http import answers, bodies
-from ramppulley.fronts.http.gather import Gatherer
+from ramppulley.fronts.http.gather import StreamAggregator
 from ramppulley.fronts.response_stream import ResponseStream
 from ramppulley.service import naming as names
 from ramppulley.service.neutral import (
@@ -37,35 +37,35 @@
     "/rerank": RERANK,
     "/v2/rerank": RERANK,
 }
-LOOK_INTERVAL_S = 0.1  # between looks for a client's end behind what it sent early
+DISCONNECT_POLL_INTERVAL_S = 0.1  # between checks for a disconnect that is hidden by buffered bytes
 
 
-class Sink(ResponseStream):
-    """A stream of the API, or its pieces gathered where the client wants the answer whole. `keep`: whether the connection
-    goes on after it."""
+class OpenAIResponseStream(ResponseStream):
+    """Streams the answer, or aggregates it if the client wants it whole. `keep_alive`: whether the connection is kept
+    open afterwards."""
 
-    def __init__(self, transport, request, timeout_s, keep):
+    def __init__(self, transport, request, timeout_s, keep_alive):
         super().__init__(transport, timeout_s)
-        self.request, self.keep = request, keep
-        self.gatherer = None if request.stream or request.kind in ONE_STAGE else Gatherer(request.kind)
+        self.request, self.keep_alive = request, keep_alive
+        self.aggregator = None if request.stream or request.kind in ONE_STAGE else StreamAggregator(request.kind)
 
     async def piece(self, data):
-        if self.gatherer:
+        if self.aggregator:
             if data == sse.DONE:
                 return
             try:
-                self.gatherer.add(data)
+                self.aggregator.add(data)
             except (msgspec.DecodeError, AttributeError, TypeError) as fault:
                 raise BadMessage(f"an event that cannot be read: {fault}") from fault
             return
         await self.pass_on(sse.event(data))
 
     def gone(self):
-        """Here a next request may wait before the end, which hides it from a peek but not from a poll."""
+        """Whether the client is gone. Pipelined requests hide the close from a peek, but not from a poll."""
         if self.done.done():
             return True
         poll = select.poll()
-        poll.register(self.transport.sock, select.POLLRDHUP)  # errors and hang-ups are told unasked
+        poll.register(self.transport.sock, select.POLLRDHUP)  # errors and hang-ups are always reported
         return bool(poll.poll(0))
 
     def head(self):
@@ -76,12 +76,12 @@
                 "cache-control": "no-cache",
                 "x-request-id": self.request.name,
             },
-            self.keep,
+            self.keep_alive,
         )
 
 
 class HttpFront:
-    """Serves the API for a `switchboard`: it knows the pools by model and kind, and takes questions."""
+    """Serves the API. The `switchboard` selects the core of a request by kind and model."""
 
     def __init__(
         self,
@@ -95,10 +95,10 @@
         idle_timeout_s=75.0,
         slow_client_timeout_s=20.0,
     ):
-        self.board, self.log, self.max_body_bytes = switchboard, log, max_body_bytes
+        self.switchboard, self.log, self.max_body_bytes = switchboard, log, max_body_bytes
         self.idle_timeout_s, self.slow_client_timeout_s = idle_timeout_s, slow_client_timeout_s
         self.listener = Listener(self._serve, host, port, max_connections)
-        self.serial, self.stopping, self.idle_connections = itertools.count(), False, {}
+        self.request_numbers, self.stopping, self.idle_connections = itertools.count(), False, {}
 
     @property
     def port(self):
@@ -109,7 +109,7 @@
         return self
 
     async def stop(self, timeout_s):
-        """Connections end after the answer that they wait for; those still open after `timeout_s` seconds are cut."""
+        """Closes connections after their current answer; those still open after `timeout_s` seconds are cut."""
         self.stopping = True
         for connection in self.idle_connections.values():
             connection.end()
@@ -124,17 +124,17 @@
             connection.close()
 
     async def _serve_next(self, connection):
-        """Answers the next request; whether the connection stays open."""
-        request = await self._next(connection)
+        """Answers the next request; returns whether the connection stays open."""
+        request = await self._next_request(connection)
         if request is None:
             return False
-        keep = await self._handle(connection, request)
-        if not keep and (connection.has_sent_more() or connection.transport.has_unread_bytes()):
+        keep_alive = await self._handle(connection, request)
+        if not keep_alive and (connection.has_sent_more() or connection.transport.has_unread_bytes()):
             await connection.finish()
-        return keep
+        return keep_alive
 
-    async def _next(self, connection):
-        """The next whole request; None where there is none, and its client has been told why."""
+    async def _next_request(self, connection):
+        """The next whole request; None if there is none, after an error response where one is due."""
         try:
             return await connection.next_request(
                 self.idle_timeout_s, self.slow_client_timeout_s, self.idle_connections, lambda: self.stopping
@@ -151,11 +151,11 @@
         await connection.finish(http.answer(status, answers.JSON, body, keep_alive=False))
 
     async def _handle(self, connection, http_request):
-        """Answers one request; whether the connection stays open."""
-        keep = http_request.keep_alive and not self.stopping
+        """Answers one request; returns whether the connection stays open."""
+        keep_alive = http_request.keep_alive and not self.stopping
         kind = ROUTES.get(http_request.path)
         if kind is None:
-            status, headers, body = self._page(http_request)
+            status, headers, body = self._answer_get(http_request)
         elif http_request.method != "POST":
             status, headers, body = (
                 405,
@@ -165,20 +165,20 @@
         else:
             try:
                 request, core = self._translate(kind, http_request)
-            except (BadMessage, names.Unnamed) as fault:
+            except (BadMessage, names.MetadataError) as fault:
                 status, headers, body = (
                     fault.status,
                     answers.JSON,
-                    answers.error(str(fault), "invalid_request_error", param=getattr(fault, "at", None)),
+                    answers.error(str(fault), "invalid_request_error", param=getattr(fault, "param", None)),
                 )
             else:
-                return await self._answer_request(connection, request, core, keep)
+                return await self._answer_request(connection, request, core, keep_alive)
         if http_request.method == "HEAD":
             body = b""
-        await send(connection.transport, http.answer(status, headers, body, keep), self.slow_client_timeout_s)
-        return keep
+        await send(connection.transport, http.answer(status, headers, body, keep_alive), self.slow_client_timeout_s)
+        return keep_alive
 
-    def _page(self, http_request):
+    def _answer_get(self, http_request):
         if http_request.method not in ("GET", "HEAD"):
             return 404, answers.JSON, answers.error(f"no {http_request.path} here", "invalid_request_error")
         if http_request.path == "/v1/models":
@@ -190,12 +190,12 @@
                         "object": "list",
                         "data": [
                             {"id": model, "object": "model", "created": 0, "owned_by": "ramppulley"}
-                            for model in self.board.models()
+                            for model in self.switchboard.models()
                         ],
                     }
                 ),
             )
-        if http_request.path.startswith("/v1/models/") and http_request.path[11:] in self.board.models():
+        if http_request.path.startswith("/v1/models/") and http_request.path[11:] in self.switchboard.models():
             return (
                 200,
                 answers.JSON,
@@ -204,46 +204,46 @@
                 ),
             )
         if http_request.path == "/healthz":
-            ready = self.board.ready() and not self.stopping
+            ready = self.switchboard.ready() and not self.stopping
             return (200 if ready else 503), {"content-type": "text/plain"}, b"ok\n" if ready else b"not ready\n"
         if http_request.path == "/metrics":
-            return 200, {"content-type": CONTENT_TYPE_LATEST}, generate_latest(self.board.registry)
+            return 200, {"content-type": CONTENT_TYPE_LATEST}, generate_latest(self.switchboard.registry)
         return 404, answers.JSON, answers.error(f"no {http_request.path} here", "invalid_request_error")
 
     def _translate(self, kind, http_request):
-        """The request in the core's terms, and the core that takes it; raises BadMessage or Unnamed."""
-        metadata, naming = http_request.headers, self.board.naming
-        tenant = names.account_of(naming, metadata)
+        """(request for the core, that core); raises BadMessage or MetadataError."""
+        metadata, naming = http_request.headers, self.switchboard.naming
+        tenant = names.tenant_of(naming, metadata)
         media = metadata.get("content-type", "application/json").partition(";")[0].strip().lower()
         if media != "application/json":
-            raise bodies.Unfit(f"application/json is needed, not {media}", status=415)
-        body, checked = bodies.read(kind, http_request.body)
-        core = self.board.core(kind, checked.model)
+            raise bodies.BodyError(f"application/json is needed, not {media}", status=415)
+        body, checked = bodies.decode(kind, http_request.body)
+        core = self.switchboard.core(kind, checked.model)
         if core is None:
-            raise bodies.Unfit(f"no model {checked.model[: names.TEXT_MOST]!r} for {kind} here", "model", 404)
-        if not self.board.room():
-            raise bodies.Unfit("the router holds as many questions as it may", status=503)
-        weighed, counted = names.weigh(kind, body)
+            raise bodies.BodyError(f"no model {checked.model[: names.MAX_NAME_LENGTH]!r} for {kind} here", "model", 404)
+        if not self.switchboard.has_capacity():
+            raise bodies.BodyError("the router holds as many questions as it may", status=503)
+        prompt_bytes, counted_tokens = names.measure_prompt(kind, body)
         estimator = core.estimator
-        prompt = counted + (estimator.tokens(checked.model, weighed) if weighed else 0)
-        use_case = names.use_case_of(naming, metadata, kind, checked.model)
+        prompt = counted_tokens + (estimator.tokens(checked.model, prompt_bytes) if prompt_bytes else 0)
+        use_case = names.request_class_of(naming, metadata, kind, checked.model)
         if use_case not in core.request_classes:
-            raise bodies.Unfit(f"use case {use_case} is not served by {checked.model}", "model")
-        prefix, prefix_bytes = names.beginning_of(kind, body)
-        told = metadata.get("x-request-id", "")
-        name = told if 0 < len(told) <= 64 and told.isascii() and told.replace("-", "").isalnum() else "q"
-        max_out = bodies.most_out(kind, checked)
-        # an answer of a token or two has a pace only if it has a length: a third of it would be none
+            raise bodies.BodyError(f"use case {use_case} is not served by {checked.model}", "model")
+        prefix, prefix_bytes = names.prefix_of(kind, body)
+        sent = metadata.get("x-request-id", "")
+        name = sent if 0 < len(sent) <= 64 and sent.isascii() and sent.replace("-", "").isalnum() else "q"
+        max_out = bodies.max_output_tokens(kind, checked)
+        # the default expectation, a third of the limit, would be no token for one or two, and their token rate undefined
         short = kind in ONE_STAGE or max_out < 3
         return InferenceRequest(
-            name=f"{name}.{self.board.mark}{next(self.serial)}",
+            name=f"{name}.{self.switchboard.router_prefix}{next(self.request_numbers)}",
             kind=kind,
             model=checked.model,
             request_class=use_case,
             body=body,
-            deadline=names.patience_of(naming, metadata, core.request_classes[use_case], prompt),
+            deadline=names.deadline_of(naming, metadata, core.request_classes[use_case], prompt),
             prompt=max(1, prompt),
-            weighed=0 if counted else weighed,
+            prompt_bytes=0 if counted_tokens else prompt_bytes,
             max_out=max_out,
             likely_out=1 if short else None,
             stream=bool(getattr(checked, "stream", False)),
@@ -254,50 +254,55 @@
             session=names.session_of(naming, metadata, kind, body),
             prefix=prefix,
             prefix_tokens=min(max(1, prompt), estimator.tokens(checked.model, prefix_bytes)) if prefix_bytes else 0,
-            idempotency_key=metadata.get(naming.receipt_header, "")[: names.TEXT_MOST],
+            idempotency_key=metadata.get(naming.receipt_header, "")[: names.MAX_NAME_LENGTH],
         ), core
 
-    async def _answer_request(self, connection, request, core, keep):
-        """From taken to its final answer; whether the connection stays open."""
-        sink = Sink(connection.transport, request, self.slow_client_timeout_s, keep)
+    async def _answer_request(self, connection, request, core, keep_alive):
+        """Serves an accepted request to its final answer; returns whether the connection stays open."""
+        sink = OpenAIResponseStream(connection.transport, request, self.slow_client_timeout_s, keep_alive)
         tracked = core.submit(request, sink)
         try:
             while not sink.done.done():
-                if not await connection.wait_for(sink.done, LOOK_INTERVAL_S if connection.early_bytes else None):
+                if not await connection.wait_for(
+                    sink.done, DISCONNECT_POLL_INTERVAL_S if connection.early_bytes else None
+                ):
                     return False  # the client left
                 if connection.early_bytes and not sink.done.done() and sink.gone():
-                    return False  # an end that is hidden behind what came early is one as well
-            ending = sink.done.result()
-            if ending.result == CLIENT_LEFT or sink.sending:
+                    return False  # the client left, and its close was hidden by buffered bytes
+            final_answer = sink.done.result()
+            if final_answer.result == CLIENT_LEFT or sink.sending:
                 return False
-            keep = await self._end(connection.transport, request, tracked, sink, ending, keep) and keep
-            if keep and connection.early_bytes:
+            keep_alive = (
+                await self._send_final_answer(connection.transport, request, tracked, sink, final_answer, keep_alive)
+                and keep_alive
+            )
+            if keep_alive and connection.early_bytes:
                 early, connection.early_bytes = connection.early_bytes, b""
                 connection.parser.feed(early)
-            return keep
-        except BadMessage as fault:  # of the pipelined bytes
+            return keep_alive
+        except BadMessage as fault:  # in the pipelined bytes
             await self._refuse(connection, fault.status, str(fault))
             return False
         finally:
-            core.client_left(tracked)  # no effect after an ending
+            core.client_left(tracked)  # no effect after the final answer
 
-    async def _end(self, transport, request, tracked, sink, ending, keep):
-        """Writes the final answer; whether the connection can go on."""
+    async def _send_final_answer(self, transport, request, tracked, sink, final_answer, keep_alive):
+        """Sends the final answer; returns whether the connection can be kept open."""
         if sink.begun:
-            if ending.result == COMPLETED:
-                await send(transport, http.LAST_CHUNK, self.slow_client_timeout_s)  # behind the engine's own [DONE]
+            if final_answer.result == COMPLETED:
+                await send(transport, http.LAST_CHUNK, self.slow_client_timeout_s)  # after the engine's own [DONE]
                 return True
-            # an error event and no last chunk: no client can take it for a whole answer
-            told = answers.error("the stream broke: " + ending.reason, "broken_stream", "may_have_run")
-            await send(transport, http.chunk(sse.event(told)), self.slow_client_timeout_s)
+            # an error event without the last chunk: the client recognizes a truncated response
+            error = answers.error("the stream broke: " + final_answer.reason, "broken_stream", "may_have_run")
+            await send(transport, http.chunk(sse.event(error)), self.slow_client_timeout_s)
             return False
-        if ending.result == COMPLETED and not ending.body and sink.gatherer:
-            status, headers, body = 200, answers.JSON, sink.gatherer.whole()
+        if final_answer.result == COMPLETED and not final_answer.body and sink.aggregator:
+            status, headers, body = 200, answers.JSON, sink.aggregator.to_json()
         else:
-            status, headers, body = answers.answer_of(ending, len(tracked.attempts))
+            status, headers, body = answers.answer_of(final_answer, len(tracked.attempts))
         await send(
             transport,
-            http.answer(status, {**headers, "x-request-id": request.name}, body, keep),
+            http.answer(status, {**headers, "x-request-id": request.name}, body, keep_alive),
             self.slow_client_timeout_s,
         )
         return True
--- a/ramppulley/fronts/platform/__init__.py
+++ b/ramppulley/fronts/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's clients: its requests in, its streams and final answers out."""
+"""The front for clients of the platform: requests, event streams and final answers over HTTP."""
--- a/ramppulley/fronts/platform/answers.py
+++ b/ramppulley/fronts/platform/answers.py
@@ -1,13 +1,13 @@
-"""Every final answer on the platform as HTTP: one table. Pure.
+"""Maps final answers to HTTP responses on the platform. Pure.
 
-| ending | status |
+| result | response |
 | --- | --- |
 | completed | 200, the worker's events |
-| rejected: trying again is harmless | 503, `Retry-After` in seconds where the settings let it be named |
-| failed, time up | 504 |
-| failed by a fault | 500 |
+| rejected, safe to retry | 503, with `Retry-After` in seconds if the settings allow it |
+| failed, deadline exceeded | 504 |
+| failed, fault of the router | 500 |
 
-A 504 says nothing of whether it ran; only 429 and 503 tell a client that trying again is harmless.
+After a 504 the request may or may not have run. Only 429 and 503 tell a client that it may safely retry.
 """
 
 from typing import NamedTuple
@@ -19,7 +19,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer, but for whether the connection stays open."""
+    """A complete response, except for whether the connection is kept open."""
 
     status: int
     headers: dict[str, str]
@@ -27,7 +27,7 @@
 
 
 def text_answer(status: int, text: str) -> Answer:
-    """One line of text.
+    """A response with one line of text.
 
     >>> text_answer(503, "not ready")
     Answer(status=503, headers={'content-type': 'text/plain'}, body=b'not ready\\n')
@@ -36,7 +36,7 @@
 
 
 def retry_headers(retry_after: int) -> dict[str, str]:
-    """The field that names the time to come back, if one may be named. `retry_after`: tenths of a millisecond.
+    """The Retry-After header, if a time is given. `retry_after`: tenths of a millisecond.
 
     >>> retry_headers(2500), retry_headers(0)
     ({'retry-after': '0.250'}, {})
@@ -44,9 +44,9 @@
     return {"retry-after": f"{retry_after / TENTHS_PER_S:.3f}"} if retry_after > 0 else {}
 
 
-def answer_of(ending: FinalAnswer) -> Answer:
-    """The answer that says how a request ended, where it did not end with a stream."""
-    body = ending.reason.encode() + b"\n"
-    if ending.result == REJECTED:
-        return Answer(503, TEXT | retry_headers(ending.retry_after), body)
-    return Answer(500 if "fault" in ending.reason else 504, TEXT, body)
+def answer_of(final_answer: FinalAnswer) -> Answer:
+    """The response for a final answer that is not a stream."""
+    body = final_answer.reason.encode() + b"\n"
+    if final_answer.result == REJECTED:
+        return Answer(503, TEXT | retry_headers(final_answer.retry_after), body)
+    return Answer(500 if "fault" in final_answer.reason else 504, TEXT, body)
--- a/ramppulley/fronts/platform/eviction.py
+++ b/ramppulley/fronts/platform/eviction.py
@@ -1,20 +1,21 @@
-"""Which client's connection makes room for one more, where as many are open as there may be."""
+"""Selects the client connection to evict for a new one when the connection limit is reached."""
 
 from collections.abc import Iterator
 
 from ramppulley.fronts.client_connection import ClientConnection, ClientConnections
 
-MIN_IDLE_S = 2.0  # between requests it is idle for so long before it may make room
-MIN_SILENT_S = 0.1  # the same before its first request, or within it
-RECENT_CONNECTIONS = 8  # as many of those that came last and never spoke are no flood yet
+MIN_IDLE_S = 2.0  # minimum idle time between requests before a connection may be evicted
+MIN_SILENT_S = 0.1  # the same before or within its first request
+RECENT_CONNECTIONS = 8  # so many of the newest silent connections are not yet treated as a flood
 
 
 def eviction_order(
     lingering: ClientConnections, new: ClientConnections, idle: ClientConnections, now: float
 ) -> Iterator[ClientConnection]:
-    """Who may make room, in this order: who has had an answer that ends its connection; who never spoke; who stopped
-    within a first request; who is idle since long; who just came. A usual client speaks at once: of many that are new
-    and silent the oldest is least likely one, but the only one may be. Each argument has the oldest first.
+    """Candidates for eviction, in this order: connections that have had their last answer; silent ones that never sent a
+    byte; those that stopped within their first request; those idle for long; recent silent ones. A regular client sends
+    at once, so of many new and silent connections the oldest is the least likely to be one; a single one may well be.
+    Each argument lists the oldest first.
     """
     silent = [connection for connection in new.values() if not connection.parser.begun]
     yield from lingering.values()
--- a/ramppulley/fronts/platform/requests.py
+++ b/ramppulley/fronts/platform/requests.py
@@ -1,4 +1,4 @@
-"""The platform's requests as the core takes them."""
+"""Translates the platform's requests to the core's InferenceRequest."""
 
 from ramppulley.profile import Profile
 from ramppulley.service.neutral import CHAT, InferenceRequest
@@ -7,19 +7,19 @@
 
 TENTHS_PER_MS = 10  # of the router's clock
 MICROSECONDS_PER_TENTH = 100
-BYTES_PER_TOKEN = 4  # of a prompt whose length its client does not tell
+BYTES_PER_TOKEN = 4  # for a prompt whose length the client does not give
 MAX_SHOWN_PATH_LENGTH, MAX_SHOWN_NAME_LENGTH = 80, 40
 
 
 class RequestTranslator:
-    """Reads requests by one profile."""
+    """Translates requests according to a profile."""
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile
         self.class_numbers = {name: i for i, name in enumerate(profile.class_names)}
 
     def translate(self, request: http.Request) -> InferenceRequest:
-        """The request in the core's terms; raises BadMessage."""
+        """The request for the core; raises BadMessage."""
         if request.method != "POST" or not request.target.startswith("/") or request.target.startswith("/-/"):
             raise BadMessage(f"no {request.method} {request.path[:MAX_SHOWN_PATH_LENGTH]} here", 404)
         headers = platform.parse_request_headers(request.headers)
@@ -46,6 +46,6 @@
         )
 
     def _likely_out(self, request_class: int, hint_us: int | None) -> int | None:
-        """Tokens, where the client's hint tells how long the answer takes."""
+        """Expected output tokens, if the client's hint gives the duration of the answer."""
         cost = None if hint_us is None else hint_us // MICROSECONDS_PER_TENTH
         return self.profile.likely_out(self.profile.use_cases[request_class], cost)
--- a/ramppulley/fronts/platform/server.py
+++ b/ramppulley/fronts/platform/server.py
@@ -1,7 +1,7 @@
-"""The front's connections on the platform: checked requests to the core, workers' events to the clients unchanged.
+"""HTTP server for the platform's clients: passes validated requests to the core and workers' events to clients unchanged.
 
-What cannot be read gets its error and a close at once. A client sends one request at a time; one that speaks while its
-request is out is no such client.
+A message that cannot be parsed gets an error response and its connection is closed. A client may have one request at a time
+on a connection; sending more bytes before the answer is an error.
 """
 
 import asyncio
@@ -24,14 +24,12 @@
 from ramppulley.wire.sockets import Listener, Transport
 
 MAX_BODY_BYTES = 256 << 10
-FIRST_BYTE_TIMEOUT_S, FIRST_REQUEST_TIMEOUT_S = (
-    1.2,
-    1.2,
-)  # of a new connection: its first byte, its first request's last
+FIRST_BYTE_TIMEOUT_S = 1.2  # for the first byte of a new connection
+FIRST_REQUEST_TIMEOUT_S = 1.2  # for the rest of its first request
 IDLE_TIMEOUT_S = 6.0  # between requests
-SLOW_CLIENT_TIMEOUT_S = 5.0  # for a later request, and for a client that does not read
-LAST_REQUEST_GRACE_S = 0.05  # after the shutdown took its last request, for those that had come by then
-MAX_ENDED_NAMES = 1024  # of ended requests; a new one may not bear any of them
+SLOW_CLIENT_TIMEOUT_S = 5.0  # for later requests, and for a client that does not read
+LAST_REQUEST_GRACE_S = 0.05  # on shutdown, for requests that have already arrived
+MAX_ENDED_NAMES = 1024  # of ended requests, which new ones may not reuse
 REFUSAL_STATUS = {
     Refusal.OUT_OF_TURN: 400,
     Refusal.ID_USED: 409,
@@ -42,7 +40,7 @@
 
 
 class EventStream(ResponseStream):
-    """A worker's events, unchanged; `keep_alive()`: whether the connection goes on after them."""
+    """Passes on a worker's events unchanged. `keep_alive()`: whether the connection is kept open afterwards."""
 
     piece = ResponseStream.pass_on
 
@@ -51,13 +49,13 @@
         self.connection, self.keep_alive = connection, keep_alive
 
     def head(self) -> bytes:
-        """A 200 for events."""
+        """The head of a 200 response with an event stream."""
         self.connection.answer_begun = True
         return http.answer_head(200, EVENTS, self.keep_alive())
 
 
 class PlatformFront:
-    """Serves the platform's clients for one `core`. `endpoints_known()`: whether there is a list of workers to go by."""
+    """Serves the platform's clients for one `core`. `endpoints_known()`: whether a list of workers has been received."""
 
     def __init__(
         self,
@@ -74,45 +72,45 @@
         self.core, self.audit, self.log, self.endpoints_known = core, core.audit, log, endpoints_known
         self.configure(profile, max_requests)
         self.open_requests: dict[str, EventStream] = {}  # by name
-        self.ended_names: dict[str, None] = {}  # of those that ended last, the oldest first
-        self.new_connections: ClientConnections = {}  # without a whole request yet, the oldest first
-        self.idle_connections: ClientConnections = {}  # that wait with nothing begun, the oldest first
-        self.lingering_connections: ClientConnections = {}  # those refused, the oldest first
-        self.closing, self.stopping = False, False  # each answer is its connection's last; no new request is taken
-        self.taking_until = float("inf")  # by the clock of the event loop
+        self.ended_names: dict[str, None] = {}  # of the requests that ended last, the oldest first
+        self.new_connections: ClientConnections = {}  # before their first whole request, the oldest first
+        self.idle_connections: ClientConnections = {}  # waiting between requests, the oldest first
+        self.lingering_connections: ClientConnections = {}  # being shut down, the oldest first
+        self.closing, self.stopping = False, False  # each answer closes its connection; no new request is accepted
+        self.accept_until = float("inf")  # time of the event loop
         self.refused_requests = 0
-        self.listener = Listener(self._serve, host, port, max_connections, free_capacity=self._make_room)
+        self.listener = Listener(self._serve, host, port, max_connections, free_capacity=self._evict_connection)
 
     def configure(self, profile: Profile, max_requests: int) -> None:
-        """Requests that are whole from now on are read by these settings; so many may be open at once."""
+        """Applies settings to requests that are complete from now on. `max_requests`: limit on open requests."""
         self.translator, self.max_requests = RequestTranslator(profile), max_requests
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
         return self.listener.port
 
     def start(self) -> Self:
-        """Begins to accept connections."""
+        """Starts to accept connections."""
         self.listener.start()
         return self
 
     async def stop(self, accept_s: float, timeout_s: float) -> None:
-        """For `accept_s` seconds new requests are taken, each on a connection that ends with its answer; then none, and what
-        was taken gets `timeout_s` seconds."""
+        """Accepts requests for another `accept_s` seconds and closes each connection after its answer; then refuses new
+        requests and gives the accepted ones `timeout_s` seconds."""
         self.closing = True
         for connection in self.idle_connections.values():
             if connection.requests_served:
                 connection.end()
         await asyncio.sleep(accept_s)
         self.stopping = True
-        self.taking_until = asyncio.get_running_loop().time() + LAST_REQUEST_GRACE_S
+        self.accept_until = asyncio.get_running_loop().time() + LAST_REQUEST_GRACE_S
         for connection in self.idle_connections.values():
             connection.end()
         await self.listener.stop(timeout_s)
 
-    def _make_room(self) -> bool:
-        """One connection more than there may be: one that waits makes room. Whether one did."""
+    def _evict_connection(self) -> bool:
+        """Evicts a waiting connection at the connection limit; returns whether there was one."""
         now = asyncio.get_running_loop().time()
         order = eviction_order(self.lingering_connections, self.new_connections, self.idle_connections, now)
         for connection in order:
@@ -124,7 +122,7 @@
         return False
 
     def _may_be_evicted(self, connection: ClientConnection) -> bool:
-        """A request that waits unread behind a burst of new connections is served first."""
+        """Whether a connection may be closed. One with unread bytes may have sent a request, which is served first."""
         unread = connection.transport.has_unread_bytes()
         return connection.transport in self.lingering_connections or permission.may_close_idle(unread) is None
 
@@ -147,20 +145,20 @@
             connection.close()
 
     async def _answer_own_fault(self, connection: ClientConnection) -> None:
-        """An exception of our own is being handled: whoever was read has an answer."""
+        """Called in an exception handler: answers a request that was read, and logs the fault."""
         name = connection.unanswered.headers.get(platform.ID, "") if connection.unanswered else ""
         self.audit.own_fault("connection", name)
         if connection.unanswered and not connection.answer_begun:
             await self._refuse(connection, 500, "a fault in the router")
 
     async def _serve_next(self, connection: ClientConnection) -> bool:
-        """Answers the next request; whether the connection stays open."""
+        """Answers the next request; returns whether the connection stays open."""
         request = await self._next_request(connection)
         if request is None:
             return False
         connection.unanswered, connection.answer_begun = request, False
         keep_alive = await self._handle(connection, request)
-        if not connection.answer_begun and connection.transport.is_quiet():  # its client is there, and has nothing
+        if not connection.answer_begun and connection.transport.is_quiet():  # the client is connected and has no answer
             self.audit.violation(Violation.CLOSED_UNANSWERED, request.headers.get(platform.ID, ""))
         connection.unanswered = None
         if not keep_alive and connection.has_sent_more():
@@ -168,7 +166,7 @@
         return keep_alive
 
     async def _next_request(self, connection: ClientConnection) -> http.Request | None:
-        """The next whole request; None where there is none, and its client has been told why."""
+        """The next whole request; None if there is none, after an error response where one is due."""
         idle_timeout_s, request_timeout_s = self._timeouts(connection)
         try:
             try:
@@ -185,15 +183,15 @@
         return None
 
     def _timeouts(self, connection: ClientConnection) -> tuple[float, float]:
-        """Seconds for the next request's first byte and for the rest of it. Idle connections go earlier where half of the
-        connections that may be open are."""
+        """Timeouts in seconds for the first byte of the next request and for the rest of it. Idle connections are closed
+        earlier when at least half of the maximum number of connections is open."""
         if not connection.requests_served:
             return FIRST_BYTE_TIMEOUT_S, FIRST_REQUEST_TIMEOUT_S
-        plenty = 2 * len(self.listener.tasks) < self.listener.max_connections
-        return IDLE_TIMEOUT_S if plenty else MIN_IDLE_S, SLOW_CLIENT_TIMEOUT_S
+        below_half = 2 * len(self.listener.tasks) < self.listener.max_connections
+        return IDLE_TIMEOUT_S if below_half else MIN_IDLE_S, SLOW_CLIENT_TIMEOUT_S
 
     async def _refuse(self, connection: ClientConnection, status: int, text: str) -> None:
-        """An error that ends the connection."""
+        """Sends an error response and closes the connection."""
         self.refused_requests += 1
         connection.answer_begun = True
         await self._finish(connection, http.answer(*answers.text_answer(status, text), keep_alive=False))
@@ -206,11 +204,11 @@
             self.lingering_connections.pop(connection.transport, None)
 
     async def _handle(self, connection: ClientConnection, http_request: http.Request) -> bool:
-        """Answers one request; whether the connection stays open."""
+        """Answers one request; returns whether the connection stays open."""
         if http_request.path == platform.READY and http_request.method in ("GET", "HEAD"):
             return await self._answer_readiness(connection, http_request)
         try:
-            request = self._check(connection, http_request)
+            request = self._check_request(connection, http_request)
         except BadMessage as fault:
             await self._refuse(connection, fault.status, str(fault))
             return False
@@ -225,13 +223,13 @@
         await self._send(connection, http.answer(*answer, keep_alive))
         return keep_alive
 
-    def _check(self, connection: ClientConnection, http_request: http.Request) -> InferenceRequest:
-        """The request, where it may be taken; raises BadMessage."""
+    def _check_request(self, connection: ClientConnection, http_request: http.Request) -> InferenceRequest:
+        """The translated request, if it may be accepted; raises BadMessage."""
         request = self.translator.translate(http_request)
-        refusal = permission.may_take_request(
+        refusal = permission.may_accept_request(
             RequestFacts(
                 more_bytes=bool(connection.parser.begun or connection.parser.ready),
-                taking=asyncio.get_running_loop().time() <= self.taking_until,
+                accepting=asyncio.get_running_loop().time() <= self.accept_until,
                 id_used=request.name in self.open_requests or request.name in self.ended_names,
                 open_requests=len(self.open_requests),
                 max_requests=self.max_requests,
@@ -243,52 +241,54 @@
         return request
 
     async def _answer_request(self, connection: ClientConnection, request: InferenceRequest, keep_alive: bool) -> bool:
-        """From taken to its final answer; whether the connection stays open."""
+        """Serves an accepted request to its final answer; returns whether the connection stays open."""
         stream = EventStream(connection, lambda: keep_alive and not self.closing)
         self.open_requests[request.name] = stream
         tracked = self.core.submit(request, stream)
         try:
-            if not await self._wait_for_ending(connection, stream, tracked):
+            if not await self._wait_for_final_answer(connection, stream, tracked):
                 return False  # the client left
-            return await self._send_ending(connection, stream, stream.done.result(), keep_alive)
+            return await self._send_final_answer(connection, stream, stream.done.result(), keep_alive)
         finally:
             self._forget_request(request.name)
-            self.core.client_left(tracked)  # no effect after an ending
+            self.core.client_left(tracked)  # no effect after the final answer
 
-    async def _wait_for_ending(
+    async def _wait_for_final_answer(
         self, connection: ClientConnection, stream: EventStream, tracked: TrackedRequest
     ) -> bool:
-        """Until the request has ended; whether its client is still there."""
+        """Waits for the final answer; returns whether the client is still connected."""
         while not stream.done.done():
             if not await connection.wait_for(stream.done):
                 return False
             if connection.early_bytes and not stream.begun:
-                self.core.client_left(tracked)  # no effect after an ending
+                self.core.client_left(tracked)  # no effect after the final answer
         return True
 
-    async def _send_ending(
-        self, connection: ClientConnection, stream: EventStream, ending: FinalAnswer, keep_alive: bool
+    async def _send_final_answer(
+        self, connection: ClientConnection, stream: EventStream, final_answer: FinalAnswer, keep_alive: bool
     ) -> bool:
-        """What is left to send of the answer; whether the connection stays open."""
-        if ending.result == CLIENT_LEFT:  # just now, or by the last look before an attempt, which reads nothing
+        """Sends the rest of the response; returns whether the connection stays open."""
+        if (
+            final_answer.result == CLIENT_LEFT
+        ):  # noticed just now, or by the check before an attempt, which reads nothing
             await self._refuse_early_bytes(connection)
             return False
         if stream.sending:
             return False
         keep_alive = keep_alive and not connection.early_bytes and not self.closing
-        if ending.result == COMPLETED:
+        if final_answer.result == COMPLETED:
             await self._send(connection, http.LAST_CHUNK)
             return keep_alive
         if stream.begun:
-            return False  # without the last chunk: no client can take it for a whole answer
-        await self._send(connection, http.answer(*answers.answer_of(ending), keep_alive))
+            return False  # without the last chunk the client recognizes a truncated response
+        await self._send(connection, http.answer(*answers.answer_of(final_answer), keep_alive))
         return keep_alive
 
     async def _refuse_early_bytes(self, connection: ClientConnection) -> None:
-        """A client counts as gone: one that spoke out of turn is told so, one that left has no answer."""
+        """Answers a client that counts as gone because it sent unexpected bytes; one that left gets no answer."""
         if not connection.early_bytes:
             await asyncio.wait({connection.transport.readable.wait()}, timeout=LINGER_TIMEOUT_S)
-            connection.early_bytes = connection.take() or b""
+            connection.early_bytes = connection.receive_available() or b""
         if connection.early_bytes:
             await self._refuse(connection, 400, "one request at a time")
 
@@ -297,7 +297,7 @@
         await send(connection.transport, data, SLOW_CLIENT_TIMEOUT_S)
 
     def _forget_request(self, name: str) -> None:
-        """It has ended; its name stays used for some time."""
+        """Removes an ended request; its name stays reserved for some time."""
         del self.open_requests[name]
         self.ended_names[name] = None
         if len(self.ended_names) > MAX_ENDED_NAMES:
--- a/ramppulley/fronts/response_stream.py
+++ b/ramppulley/fronts/response_stream.py
@@ -1,4 +1,4 @@
-"""One request's side of a client's connection: its answer's head with the first piece, pieces as they come, its ending."""
+"""The response of one request on a client connection: head and first chunk, further chunks, and the final answer."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class ResponseStream:
-    """A streamed answer, and the future that is done with the request's one ending. Each front gives it a head."""
+    """A streamed response and a future for the final answer. Each front defines the head in a subclass."""
 
     def __init__(self, transport: Transport, timeout_s: float) -> None:
         self.transport, self.timeout_s = transport, timeout_s
@@ -17,25 +17,25 @@
         self.begun, self.sending = False, False
 
     def head(self) -> bytes:
-        """The answer's head, asked for with its first piece."""
+        """The response head, called when the first chunk is sent."""
         raise NotImplementedError
 
     async def pass_on(self, data: bytes) -> None:
-        """Sends a piece; raises OSError or TimeoutError: the client left."""
-        out = http.chunk(data)
+        """Sends a chunk; raises OSError or TimeoutError if the client left."""
+        chunk = http.chunk(data)
         if not self.begun:
             self.begun = True
-            out = self.head() + out
+            chunk = self.head() + chunk
         self.sending = True
-        await send(self.transport, out, self.timeout_s)
+        await send(self.transport, chunk, self.timeout_s)
         self.sending = False
 
     def gone(self) -> bool:
-        """By the socket, as the watch runs some turns behind. Who spoke out of turn counts as gone: what it
-        sent may hide its end."""
+        """Whether the client is gone. Asks the socket, as the connection's task notices a close some loop iterations later.
+        A client that sent unexpected bytes counts as gone, as these may hide its close."""
         return self.done.done() or not self.transport.is_quiet()
 
-    def final(self, ending: FinalAnswer) -> None:
-        """The one ending; a second one changes nothing."""
+    def final(self, final_answer: FinalAnswer) -> None:
+        """Sets the final answer; a second one is ignored."""
         if not self.done.done():
-            self.done.set_result(ending)
+            self.done.set_result(final_answer)
--- a/ramppulley/service/__init__.py
+++ b/ramppulley/service/__init__.py
@@ -1,1 +1,1 @@
-"""The core: hosts the decision module; knows neither HTTP nor engines."""
+"""The protocol-independent core: hosts the decision module and knows neither HTTP nor engine protocols."""
--- a/ramppulley/service/audit.py
+++ b/ramppulley/service/audit.py
@@ -1,6 +1,6 @@
-"""What a router did against its own rules, and the evidence for it: counters, and a bounded ring of recent events.
+"""Detects violations of the router's own invariants; keeps counters and a bounded ring of recent events as evidence.
 
-In ordinary service this costs one tuple an event. A violation is one log line with what the ring has of its request.
+In normal operation the cost is one tuple per event. A violation logs one line with the ring's events of its request.
 """
 
 from collections import Counter, deque
@@ -12,7 +12,7 @@
 
 
 class Violation(StrEnum):
-    """What must not happen: in tests and in the soak each is a failure, in service a line and the safe way out."""
+    """Invariants that were violated. Each fails a test or a soak run; in production it is logged and handled safely."""
 
     ANSWER_OVERDUE = "answer_overdue"
     SECOND_ANSWER = "second_answer"
@@ -24,18 +24,18 @@
 
 
 class Action(StrEnum):
-    """What is counted by its reason."""
+    """Actions that are counted by reason."""
 
-    REFUSED = "refused"  # by `service.permission`
+    REFUSED = "refused"  # an action, by `service.permission`
     ENDED = "ended"  # attempts, by outcome
-    CLOSED = "closed"  # clients' connections
-    ANSWERED = "answered"  # requests, by how and why
-    RETRIED = "retried"  # requests, by the outcome behind which their next attempt began
-    KV_STATE = "kv"  # KV states, by step
+    CLOSED = "closed"  # client connections
+    ANSWERED = "answered"  # requests, by result and reason
+    RETRIED = "retried"  # requests, by the outcome that led to the next attempt
+    KV_STATE = "kv"  # KV states, by lifecycle step
 
 
 class Event(NamedTuple):
-    """One entry of the ring. `at`: the router's clock, tenths of a millisecond."""
+    """One entry of the ring. `at`: time of the router's clock in tenths of a millisecond."""
 
     at: int
     request: str
@@ -44,7 +44,7 @@
 
 
 class RuleAudit:
-    """Counts and remembers. `clock` and `log` are the router's."""
+    """Counts actions and violations and keeps recent events. `clock` and `log` are the router's."""
 
     def __init__(self, log: Any, clock: Any) -> None:
         self.log, self.clock = log, clock
@@ -53,32 +53,32 @@
         self.violations: Counter[Violation] = Counter()
 
     def record(self, request: str, what: str, detail: object = "") -> None:
-        """An event of a request, for the ring. `detail` is shown only after a violation."""
+        """Adds an event of a request to the ring. `detail` is formatted only when a violation is logged."""
         self.ring.append(Event(self.clock.now(), request, what, detail))
 
     def count(self, action: Action, reason: str, request: str = "") -> None:
-        """One more of this action for this reason."""
+        """Counts an action under a reason; with a request, it also enters the ring."""
         self.counts[action, reason] += 1
         if request:
             self.record(request, action, reason)
 
     def violation(self, kind: Violation, request: str, **facts: object) -> None:
-        """Something was done against the rules: one line, with what is known of its request."""
+        """Counts and logs a violation with the recent events of its request."""
         self.violations[kind] += 1
         self.log.error("rule broken", rule=kind.value, question=request, **facts, events=self._history(request))
 
     def own_fault(self, where: str, request: str = "") -> None:
-        """An exception of our own is being handled."""
+        """Logs the exception that is being handled, as a fault of the router itself."""
         self.violations[Violation.OWN_FAULT] += 1
         self.log.exception("module fault", where=where, question=request, events=self._history(request))
 
     def _history(self, request: str) -> str:
-        """What the ring has of a request; the times are milliseconds before now."""
+        """The ring's events of a request as text; times are milliseconds relative to now."""
         now = self.clock.now()
         events = [event for event in self.ring if event.request == request][-MAX_SHOWN_EVENTS:]
         return "; ".join(f"-{(now - at) // 10} ms {what} {detail}".rstrip() for at, _, what, detail in events)
 
     def sizes(self) -> dict[str, object]:
-        """For the periodic log line: violations in all, and the counters by their reasons."""
+        """Fields of the periodic log line: the total of violations, and the counters by reason."""
         reasons = (f"{action}/{reason.replace(' ', '_')}:{n}" for (action, reason), n in sorted(self.counts.items()))
         return {"violations": sum(self.violations.values()), "counts": ",".join(reasons)}
--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -1,9 +1,9 @@
-"""Hosts one decision module for one pool of workers: tells it what happens, carries out what it decides.
+"""Hosts one decision module for one pool of workers: passes events to it and carries out its decisions.
 
-A front hands in an InferenceRequest with its ResponseSink (`submit`, `client_left`); an engine connector is told start /
-cancel / reserve / release and reports `first_token`, `attempt_ended`, `reservation_answered`, `probed`; discovery reports
-`endpoints_changed`. What a request keeps here is its body, its TrackedRequest and one EngineAttempt for each of its
-attempts (four at most); tokens pass through and are never collected.
+A front submits an InferenceRequest with its ResponseSink (`submit`, `client_left`). An engine connector is called to start,
+cancel, reserve and release, and reports `first_token`, `attempt_ended`, `reservation_answered` and `probed`. Discovery
+reports `endpoints_changed`. Memory per request is its body, its TrackedRequest and an EngineAttempt for each attempt (four
+at most); tokens are passed through and not accumulated.
 """
 
 from ramppulley import door
@@ -21,14 +21,14 @@
 )
 from ramppulley.service.record import QuestionRecord, SendRecord
 
-OVERDUE_SLACK = 1_000  # tenths of a millisecond after a request's deadline: past what a late loop explains
-HELD_SLACK = 3_000  # the same for KV state, after the time of the settings
+ANSWER_SLACK = 1_000  # after a request's deadline, in tenths of a millisecond; more than event loop delay explains
+KV_STATE_SLACK = 3_000  # the same for KV state, after `kv_state_limit`
 
 
 class Core:
-    """One pool's questions and its module. Implements `door.Host`.
+    """The requests and the decision module of one pool. Implements `door.Host`.
 
-    `make_router(host, now)` gives the module, or a baseline with the same events. `name_of` tells a box's name.
+    `make_router(host, now)` returns the module, or a baseline with the same events. `name_of` returns an endpoint's name.
     """
 
     def __init__(
@@ -43,21 +43,20 @@
         )
         self.audit = audit or RuleAudit(log, clock)
         self.requests, self.accepted, self.draining = {}, 0, False
-        self.kv_state_limit = None  # how long KV state may be held, where its engines say; tenths of a millisecond
-        self.before_decision, self.attempts_changed = (
-            None,
-            None,
-        )  # called, where set, before a decision, and when a send came or went
+        # maximum time that KV state is held, if the engines set one; tenths of a millisecond
+        self.kv_state_limit = None
+        self.before_decision = None  # optional callback before a decision
+        self.attempts_changed = None  # optional callback when an attempt has started, or a prefill has ended
         self.router = make_router(self, clock.now())
 
-    # What a front tells
+    # Called by a front
     def submit(self, request, sink):
-        """From here one final answer is owed; it comes by `sink.final`, perhaps before this returns."""
+        """Accepts a request. It gets exactly one final answer through `sink.final`, possibly before this returns."""
         if self.before_decision is not None:
             self.before_decision()
-        now, use_case = self.clock.now(), self.request_classes[request.request_class]
+        now, request_class = self.clock.now(), self.request_classes[request.request_class]
         view = door.RequestView(
-            use_case,
+            request_class,
             prompt=request.prompt,
             most_out=request.max_out,
             patience=request.deadline,
@@ -72,128 +71,137 @@
         tracked = self.requests[view] = TrackedRequest(request, view, sink, now)
         self.accepted += 1
         self.audit.record(request.name, "taken", request.request_class)
-        self._tell(tracked, self.router.arrived, view)
+        self._dispatch(tracked, self.router.arrived, view)
         return tracked
 
     def client_left(self, tracked):
-        """The client closed its connection: nothing is owed any more, and what runs for it is stopped."""
+        """The client closed its connection: no answer is due any more, and open attempts are cancelled."""
         if tracked.final_answer is None:
             self.audit.record(tracked.request.name, "client left")
-            self._end(
+            self._set_final_answer(
                 tracked, FinalAnswer(CLIENT_LEFT, False, "the client left", streamed=tracked.first_token_at is not None)
             )
-            self._tell(tracked, self.router.left, tracked.view)
+            self._dispatch(tracked, self.router.left, tracked.view)
             for attempt in tracked.open_attempts:
-                self._stop(attempt)  # also a stream, which the module leaves to the client
+                self._cancel(attempt)  # including a stream, which the module does not cancel
             self._forget(tracked)
 
     def attempt_refused(self, attempt, refusal):
-        """An attempt's first byte was refused by `service.permission`."""
+        """`service.permission` refused the first byte of an attempt."""
         self.audit.count(Action.REFUSED, refusal, attempt.tracked.request.name)
 
-    # What the operators tell
+    # Called on changes of the settings
     def reconfigured(self, tenants, **settings):
-        """For requests taken from now on; those in flight keep their class, permits and tenant share. `tenants`: the
-        numbers of `accounts` by their names."""
+        """Applies to requests accepted from now on; those in flight keep their class, capabilities and tenant share.
+        `tenants` maps the names of `accounts` to their numbers."""
         self.request_classes, self.tenant_numbers = settings["use_cases"], tenants
-        self._guarded("configured", self.router.configured, self.clock.now(), **settings)
+        self._call_guarded("configured", self.router.configured, self.clock.now(), **settings)
 
-    # What the list of workers tells
+    # Called by discovery
     def endpoints_changed(self, endpoints):
-        self._guarded("listed", self.router.listed, self.clock.now(), endpoints)
+        self._call_guarded("listed", self.router.listed, self.clock.now(), endpoints)
 
-    # What other routers tell
+    # Called by the exchange with other routers
     def peer_reports_changed(self, endpoints):
-        """`Endpoint.heard` of these is new."""
-        self._guarded("told", self.router.told, self.clock.now(), endpoints)
+        """`Endpoint.heard`, the peer report, of these endpoints has changed."""
+        self._call_guarded("told", self.router.told, self.clock.now(), endpoints)
 
-    # What an engine connector tells
+    # Called by an engine connector
     def first_token(self, attempt):
-        """The answer has begun: from now on it is the client's, whatever becomes of it."""
+        """The response has started: it goes to this client, and no other attempt may replace it. Returns whether it may."""
         tracked = attempt.tracked
         if attempt.ended or tracked.final_answer is not None:
             return False
         attempt.first_token_at = tracked.first_token_at = self.clock.now()
         self.audit.record(tracked.request.name, "first token", attempt.number)
         if tracked.reserved_at is None or tracked.reserved_at > attempt.started:
-            self._let_place_go(tracked)  # the hold may have come in behind the write, which then took no place
+            # the reservation may have arrived after the decode, which then did not use it
+            self._release_reservation(tracked)
         if tracked.state is not None:
             self._note_kv(tracked, KvStep.TAKEN)
         tracked.state = tracked.state_endpoint = tracked.reserved_endpoint = None
-        self._tell(tracked, self.router.first_token, tracked.view, attempt.policy_attempt)
+        self._dispatch(tracked, self.router.first_token, tracked.view, attempt.policy_attempt)
         return True
 
     def remaining_timeout(self, attempt):
-        """What is left of an attempt's time-out, which counts from its decision. Never more than its client waits."""
+        """The rest of an attempt's timeout, which counts from its decision and does not exceed the client's deadline."""
         return attempt.started + attempt.time_out - self.clock.now()
 
     def repeat_window_over(self, attempt):
-        """Whether a repeat would come too late to be known for one."""
+        """Whether a repeat would be too late for the workers to recognize it as one."""
         return attempt.first_byte_deadline is not None and self.clock.now() > attempt.first_byte_deadline
 
-    def attempt_ended(self, attempt, end):
-        """The one outcome of a send."""
+    def attempt_ended(self, attempt, result):
+        """Reports the outcome of an attempt; a second outcome is ignored."""
         tracked = attempt.tracked
         if attempt.ended:
             return
         if self.before_decision is not None:
             self.before_decision()
-        if end.body and tracked.final_answer is None:
-            self.first_token(
-                attempt
-            )  # in one piece: begun and ended in one moment, or its end looks like a slow stream
-        attempt.ended, attempt.result = True, (self.clock.now(), end)
-        self.audit.count(Action.ENDED, end.outcome, tracked.request.name)
+        if result.body and tracked.final_answer is None:
+            # a whole answer starts and ends at once; else its end would look like a slow stream
+            self.first_token(attempt)
+        attempt.ended, attempt.result = True, (self.clock.now(), result)
+        self.audit.count(Action.ENDED, result.outcome, tracked.request.name)
         final = tracked.final_answer is not None
-        self._take_state(tracked, attempt, end)
-        if end.outcome in door.ANSWERED:
+        self._update_kv_state(tracked, attempt, result)
+        if result.outcome in door.ANSWERED:
             tracked.held_since = self.clock.now()
-        if end.usage:
-            tracked.usage = end.usage
-            if tracked.request.weighed:
-                self.estimator.learn(tracked.request.model, tracked.request.weighed, end.usage.prompt)
-        if end.outcome == door.DONE and not final:
-            self._end(tracked, FinalAnswer(COMPLETED, False, status=end.status, streamed=not end.body, body=end.body))
+        if result.usage:
+            tracked.usage = result.usage
+            if tracked.request.prompt_bytes:
+                self.estimator.learn(tracked.request.model, tracked.request.prompt_bytes, result.usage.prompt)
+        if result.outcome == door.DONE and not final:
+            self._set_final_answer(
+                tracked, FinalAnswer(COMPLETED, False, status=result.status, streamed=not result.body, body=result.body)
+            )
             final = True
-        kept = end.usage.cached if end.usage else 0
-        self._tell(
-            tracked, self.router.outcome, tracked.view, attempt.policy_attempt, end.outcome, final, kept, end.report
+        cached_tokens = result.usage.cached if result.usage else 0
+        self._dispatch(
+            tracked,
+            self.router.outcome,
+            tracked.view,
+            attempt.policy_attempt,
+            result.outcome,
+            final,
+            cached_tokens,
+            result.report,
         )
-        if self.attempts_changed is not None and attempt.is_prefill:  # what a writer has on top is told with the next
+        # the end of a decode is reported with the next change
+        if self.attempts_changed is not None and attempt.is_prefill:
             self.attempts_changed()
         self._forget(tracked)
 
-    def _take_state(self, tracked, attempt, end):
-        """What an outcome proves of the request's KV state."""
-        if end.outcome == door.READ:
-            if end.state is not None:
-                tracked.state, tracked.state_endpoint, tracked.release_asked = end.state, attempt.endpoint, False
+    def _update_kv_state(self, tracked, attempt, result):
+        """Updates what is known of the request's KV state from an outcome."""
+        if result.outcome == door.READ:
+            if result.state is not None:
+                tracked.state, tracked.state_endpoint, tracked.release_asked = result.state, attempt.endpoint, False
                 self._note_kv(tracked, KvStep.HELD)
-        elif end.outcome in (door.NO_STATE, door.SPOILT):
+        elif result.outcome in (door.NO_STATE, door.SPOILT):
             self._note_kv(tracked, KvStep.GONE)
-            if end.outcome == door.SPOILT and tracked.state is not None:
-                self.connector.release(
-                    tracked, tracked.state_endpoint, tracked.state
-                )  # gone by all that we know; if not, nobody else would
+            if result.outcome == door.SPOILT and tracked.state is not None:
+                # probably gone; if it is not, nothing else would release it
+                self.connector.release(tracked, tracked.state_endpoint, tracked.state)
             tracked.state = tracked.state_endpoint = None
 
-    def reservation_answered(self, tracked, endpoint, held):
-        if held and tracked.reserved_endpoint is not endpoint:
-            self.connector.release(tracked, endpoint, None)  # nobody waits for it any more
-        elif held:
+    def reservation_answered(self, tracked, endpoint, reserved):
+        if reserved and tracked.reserved_endpoint is not endpoint:
+            self.connector.release(tracked, endpoint, None)  # no longer needed
+        elif reserved:
             tracked.reserved_at = self.clock.now()
         elif tracked.reserved_endpoint is endpoint:
             tracked.reserved_endpoint = None
         if tracked.view in self.requests:
-            self._tell(tracked, self.router.place, tracked.view, endpoint, held)
+            self._dispatch(tracked, self.router.place, tracked.view, endpoint, reserved)
 
     def probed(self, endpoint, outcome, report):
-        self._guarded("probed", self.router.probed, self.clock.now(), endpoint, outcome, report)
+        self._call_guarded("probed", self.router.probed, self.clock.now(), endpoint, outcome, report)
 
-    # What the module asks for (door.Host)
+    # door.Host, called by the decision module
     def send(self, view, endpoint, time_out, policy_attempt):
         tracked = self.requests[view]
-        self._check_send(tracked)
+        self._audit_send(tracked)
         if tracked.attempts:
             self._count_retry(tracked.attempts[-1])
         attempt = EngineAttempt(
@@ -209,7 +217,7 @@
         attempt.first_byte_deadline = getattr(policy_attempt, "first_byte_deadline", None)
         tracked.attempts.append(attempt)
         if not attempt.is_prefill and tracked.reserved_endpoint is not endpoint:
-            self._let_place_go(tracked)
+            self._release_reservation(tracked)
         self.connector.start(self, attempt)
         if self.attempts_changed is not None:
             self.attempts_changed()
@@ -217,7 +225,7 @@
     def hold_place(self, view, endpoint):
         tracked = self.requests[view]
         if tracked.reserved_endpoint is not endpoint:
-            self._let_place_go(tracked)
+            self._release_reservation(tracked)
         tracked.reserved_endpoint, tracked.reserved_at = endpoint, None
         self.connector.reserve(self, tracked, endpoint)
 
@@ -226,12 +234,12 @@
         if tracked is None:
             return
         if tracked.state is not None:
-            self._release(tracked)
-        self._let_place_go(tracked)
+            self._release_kv_state(tracked)
+        self._release_reservation(tracked)
 
-    def _release(self, tracked):
-        """Asks for the release of its KV state. A decode that is out, where it arrived, keeps what it waits for: then the
-        state may be held until that has ended, and is released once more."""
+    def _release_kv_state(self, tracked):
+        """Requests the release of its KV state. An open decode that has reached its worker keeps the state it waits for:
+        the state may then be held until the decode has ended, and is released again."""
         decode_out = any(not attempt.is_prefill for attempt in tracked.open_attempts)
         self._note_kv(tracked, KvStep.RELEASE_BESIDE if decode_out else KvStep.RELEASE)
         self.connector.release(tracked, tracked.state_endpoint, tracked.state)
@@ -242,19 +250,21 @@
     def withdraw(self, view, policy_attempt):
         for attempt in self.requests[view].open_attempts:
             if attempt.policy_attempt is policy_attempt:
-                self._stop(attempt)
+                self._cancel(attempt)
 
     def probe(self, endpoint):
         self.connector.probe(self, endpoint)
 
     def turn_back(self, view, come_back):
         tracked = self.requests[view]
-        why = "no worker could take it in time" if not tracked.attempts else "no worker answered in time"
-        self._end(tracked, FinalAnswer(REJECTED, True, why, come_back, streamed=tracked.first_token_at is not None))
+        reason = "no worker could take it in time" if not tracked.attempts else "no worker answered in time"
+        self._set_final_answer(
+            tracked, FinalAnswer(REJECTED, True, reason, come_back, streamed=tracked.first_token_at is not None)
+        )
 
     def scrap(self, view):
         tracked = self.requests[view]
-        self._end(
+        self._set_final_answer(
             tracked,
             FinalAnswer(
                 FAILED,
@@ -265,126 +275,129 @@
         )
 
     def remind(self, wait, note):
-        self.clock.after(wait, self._remind, note)
+        self.clock.after(wait, self._on_reminder, note)
 
     def log(self, line):
         self._log.info("mode", pool=self.pool, line=line)
 
-    # Inside
-    def _remind(self, note):
+    # Internal
+    def _on_reminder(self, note):
         view = getattr(note, "view", None)
         if view in self.requests:
-            self._tell(self.requests[view], self.router.reminded, note)
+            self._dispatch(self.requests[view], self.router.reminded, note)
         else:
-            self._guarded("reminded", self.router.reminded, self.clock.now(), note)
-        self._sweep(note)
+            self._call_guarded("reminded", self.router.reminded, self.clock.now(), note)
+        self._forget_if_ended(note)
 
-    def _sweep(self, note):
+    def _forget_if_ended(self, note):
         view = getattr(note, "view", None)
         if view in self.requests:
             self._forget(self.requests[view])
 
-    def _tell(self, tracked, event, *args):
-        """A fault in the module costs the question that met it, not the others."""
+    def _dispatch(self, tracked, event, *args):
+        """Passes a request's event to the module; an exception there fails this request and no other one."""
         try:
             event(self.clock.now(), *args)
         except Exception:
             self.audit.own_fault(getattr(event, "__name__", "event"), tracked.request.name)
-            self._give_up(tracked)
+            self._fail_request(tracked)
 
-    def _guarded(self, event, call, *args, **more):
-        """A fault in an event that belongs to no request costs that event, not the task that told it."""
+    def _call_guarded(self, event, call, *args, **options):
+        """Passes an event of no request to the module; an exception there loses the event, but does not end the caller."""
         try:
-            call(*args, **more)
+            call(*args, **options)
         except Exception:
             self.audit.own_fault(event)
 
-    def _give_up(self, tracked):
-        """The safe way out behind a fault of our own: an answer, and nothing that runs or is held."""
+    def _fail_request(self, tracked):
+        """Ends a request safely after a fault of our own: answers it, cancels its attempts and releases what it holds."""
         if tracked.final_answer is None:
-            self._end(
+            self._set_final_answer(
                 tracked,
                 FinalAnswer(FAILED, False, "a fault in the router", streamed=tracked.first_token_at is not None),
             )
         self.let_go(tracked.view)
         for attempt in tracked.open_attempts:
-            self._stop(attempt)
+            self._cancel(attempt)
 
     def _count_retry(self, last):
-        """Another attempt begins behind this one. The hand-over behind a prefill is none."""
+        """Counts a retry after attempt `last`. The hand-over from prefill to decode is not one."""
         outcome = last.result[1].outcome if last.result else "out"
         if outcome != door.READ:
             self.audit.count(Action.RETRIED, outcome, last.tracked.request.name)
 
     def _note_kv(self, tracked, step):
-        """One step of its KV state, for the log and the counters."""
+        """Records a step of the KV state for the event log and the counters."""
         worker = self.name_of(tracked.state_endpoint) if tracked.state_endpoint is not None else ""
         tracked.kv_events.append(KvEvent(self.clock.now(), step, worker or ""))
         self.audit.count(Action.KV_STATE, step, tracked.request.name)
 
-    def _check_send(self, tracked):
-        """What the module is never to ask for; it is counted, and carried out by the rules of `service.permission`."""
+    def _audit_send(self, tracked):
+        """Counts attempts that the module must never request; whether they begin is up to `service.permission`."""
         if tracked.final_answer is not None:
             self.audit.violation(Violation.ATTEMPT_AFTER_ANSWER, tracked.request.name)
         if tracked.open_attempts:
             self.audit.violation(Violation.TWO_ATTEMPTS, tracked.request.name, out=len(tracked.open_attempts))
 
     def check(self):
-        """To be called now and then: answers what is overdue, whatever lost its timer, and counts what is held too long."""
+        """Called periodically: answers overdue requests whose timer was lost and releases KV state held too long."""
         now = self.clock.now()
         for tracked in list(self.requests.values()):
-            late = now - tracked.accepted_at - tracked.request.deadline
-            if tracked.final_answer is None and tracked.first_token_at is None and late > OVERDUE_SLACK:
-                self.audit.violation(Violation.ANSWER_OVERDUE, tracked.request.name, late_ms=late // 10)
-                self._give_up(tracked)
-                self._guarded("left", self.router.left, now, tracked.view)
+            overdue = now - tracked.accepted_at - tracked.request.deadline
+            if tracked.final_answer is None and tracked.first_token_at is None and overdue > ANSWER_SLACK:
+                self.audit.violation(Violation.ANSWER_OVERDUE, tracked.request.name, late_ms=overdue // 10)
+                self._fail_request(tracked)
+                self._call_guarded("left", self.router.left, now, tracked.view)
                 self._forget(tracked)
-            elif self._holds_too_long(tracked, now):
+            elif self._kv_state_overdue(tracked, now):
                 self.audit.violation(Violation.STATE_HELD, tracked.request.name, ms=(now - tracked.held_since) // 10)
                 self.let_go(tracked.view)
 
-    def _stop(self, attempt):
+    def _cancel(self, attempt):
         if not attempt.cancelled:
             attempt.cancelled = True
             self.connector.cancel(attempt)
 
-    def _holds_too_long(self, tracked, now):
-        """Whether KV state is overdue. A decode that is out may not have arrived; one that did keeps its state, and is none
-        of that once a release was asked for beside it."""
+    def _kv_state_overdue(self, tracked, now):
+        """Whether KV state is held for longer than allowed. An open decode may not have reached its worker; one that did
+        keeps the state, which is not overdue if its release was requested beside that decode."""
         if tracked.state is None or self.kv_state_limit is None or (tracked.open_attempts and tracked.release_asked):
             return False
         since = tracked.held_since if tracked.open_attempts else max(tracked.held_since, tracked.attempts[-1].result[0])
-        return now - since > self.kv_state_limit + HELD_SLACK
+        return now - since > self.kv_state_limit + KV_STATE_SLACK
 
-    def _let_place_go(self, tracked):
+    def _release_reservation(self, tracked):
         if tracked.reserved_endpoint is not None:
             self.connector.release(tracked, tracked.reserved_endpoint, None)
             tracked.reserved_endpoint = None
 
-    def _end(self, tracked, ending):
-        """Rule 1: the first ending is the one, whatever comes after."""
+    def _set_final_answer(self, tracked, final_answer):
+        """Sets and sends the final answer. Each request has exactly one: a later one is counted as a violation."""
         if tracked.final_answer is not None:
             self.audit.violation(
-                Violation.SECOND_ANSWER, tracked.request.name, first=tracked.final_answer.result, second=ending.result
+                Violation.SECOND_ANSWER,
+                tracked.request.name,
+                first=tracked.final_answer.result,
+                second=final_answer.result,
             )
             return
-        tracked.final_answer, tracked.ended_at = ending, self.clock.now()
+        tracked.final_answer, tracked.ended_at = final_answer, self.clock.now()
         self.audit.count(
             Action.ANSWERED,
-            f"{ending.result}: {ending.reason}" if ending.reason else ending.result,
+            f"{final_answer.result}: {final_answer.reason}" if final_answer.reason else final_answer.result,
             tracked.request.name,
         )
-        tracked.sink.final(ending)
+        tracked.sink.final(final_answer)
 
     def _forget(self, tracked):
-        """After its final answer and its last outcome a question is written down and never heard of again."""
+        """Logs and drops a request once it has its final answer and the outcomes of all its attempts."""
         if tracked.final_answer is None or tracked.open_attempts or tracked.view not in self.requests:
             return
-        if tracked.state is not None:  # whatever the module made of it: nobody could release it later
-            self._release(tracked)
+        if tracked.state is not None:  # it could not be released later, whatever the module decided
+            self._release_kv_state(tracked)
         del self.requests[tracked.view]
-        tracked.request.body = None  # the largest part; what else points here may stand till the next collection
-        request, ending, used = tracked.request, tracked.final_answer, tracked.usage
+        tracked.request.body = None  # the largest part; other references may live until the next garbage collection
+        request, final_answer, usage = tracked.request, tracked.final_answer, tracked.usage
         case = tracked.view.use_case
         self.event_log.add(
             QuestionRecord(
@@ -405,13 +418,13 @@
                 promised=case.promised + case.promised_per_k * request.prompt // 1000,
                 first=tracked.first_token_at,
                 ended=tracked.ended_at,
-                how=ending.result,
-                harmless=ending.retryable,
-                why=ending.reason,
-                come_back=ending.retry_after,
-                prompt_counted=used.prompt if used else 0,
-                cached=used.cached if used else 0,
-                written=used.written if used else 0,
+                how=final_answer.result,
+                harmless=final_answer.retryable,
+                why=final_answer.reason,
+                come_back=final_answer.retry_after,
+                prompt_counted=usage.prompt if usage else 0,
+                cached=usage.cached if usage else 0,
+                written=usage.written if usage else 0,
                 kv_events=tracked.kv_events,
                 sends=[
                     SendRecord(
--- a/ramppulley/service/estimate.py
+++ b/ramppulley/service/estimate.py
@@ -1,16 +1,16 @@
-"""How many tokens a prompt will be, before an engine counts it: bytes by a ratio learnt for each model. Pure."""
+"""Estimates the token count of a prompt from its bytes, by a ratio learnt for each model. Pure."""
 
 from collections import deque
 from statistics import median
 
-FIRST_RATIO = 4.0  # bytes a token before any count is known
-SAMPLES = 32  # last counts kept for a model
-LEAST, MOST = 0.5, 16.0  # a ratio outside is a miscount, not a text
-MODELS = 256  # models learnt at once; the one unused longest goes first
+DEFAULT_RATIO = 4.0  # bytes per token before the first sample
+MAX_SAMPLES = 32  # most recent samples per model
+MIN_RATIO, MAX_RATIO = 0.5, 16.0  # a ratio outside of these is a miscount
+MAX_MODELS = 256  # beyond this the model with the oldest sample is dropped
 
 
 class Estimator:
-    """Bytes to tokens; the last samples of each model are kept, their median counts.
+    """Converts bytes to tokens by the median ratio of the most recent samples of each model.
 
     >>> estimator = Estimator()
     >>> estimator.tokens("m", 400)
@@ -24,19 +24,19 @@
         self.samples: dict[str, deque[float]] = {}
 
     def ratio(self, model: str) -> float:
-        """Bytes a token, as far as is known."""
-        return median(self.samples[model]) if model in self.samples else FIRST_RATIO
+        """Estimated bytes per token."""
+        return median(self.samples[model]) if model in self.samples else DEFAULT_RATIO
 
-    def tokens(self, model: str, weighed: int) -> int:
-        """How many tokens so many bytes will be."""
-        return max(1, round(weighed / self.ratio(model)))
+    def tokens(self, model: str, prompt_bytes: int) -> int:
+        """Estimated tokens of a prompt."""
+        return max(1, round(prompt_bytes / self.ratio(model)))
 
-    def learn(self, model: str, weighed: int, counted: int) -> None:
-        """One engine's count; what cannot be (no tokens, a ratio out of bounds) is passed over."""
-        if weighed <= 0 or counted <= 0 or not LEAST <= weighed / counted <= MOST:
+    def learn(self, model: str, prompt_bytes: int, prompt_tokens: int) -> None:
+        """Adds a sample from an engine's token count; an implausible one (no tokens, ratio out of bounds) is ignored."""
+        if prompt_bytes <= 0 or prompt_tokens <= 0 or not MIN_RATIO <= prompt_bytes / prompt_tokens <= MAX_RATIO:
             return
-        kept = self.samples.pop(model, None)
-        self.samples[model] = kept if kept is not None else deque(maxlen=SAMPLES)
-        self.samples[model].append(weighed / counted)
-        if len(self.samples) > MODELS:
+        model_samples = self.samples.pop(model, None)
+        self.samples[model] = model_samples if model_samples is not None else deque(maxlen=MAX_SAMPLES)
+        self.samples[model].append(prompt_bytes / prompt_tokens)
+        if len(self.samples) > MAX_MODELS:
             del self.samples[next(iter(self.samples))]
--- a/ramppulley/service/events.py
+++ b/ramppulley/service/events.py
@@ -1,8 +1,8 @@
-"""Records of the decision module's events and actions.
+"""Recordings of the decision module's events and actions.
 
-A record holds each call of the Router's event methods with plain arguments (endpoints, request views and attempts by
-number) and each action that followed; `check/replay.py` plays it again. Only the recorder stands between host and module,
-and only where one is asked for: without it nothing is added to the decision path.
+A recording holds each call of the Router's event methods with plain arguments (endpoints, request views and attempts by
+number) and the actions that followed; `check/replay.py` replays it. The recorder is placed between host and module only
+where one is configured: otherwise the decision path has no overhead.
 """
 
 import gzip
@@ -16,7 +16,7 @@
 
 
 class Head(msgspec.Struct):
-    """What the router was made with."""
+    """Header of a recording: the arguments that the router was created with."""
 
     seed: int
     routers: int
@@ -31,7 +31,7 @@
 
 
 class Step(msgspec.Struct, array_like=True):
-    """One event and the actions that followed it."""
+    """One event and the actions that followed it, one entry of a recording."""
 
     event: str
     now: int
@@ -40,58 +40,58 @@
 
 
 class ObjectNumbers:
-    """The numbers by which a record refers to objects, in the order of their first use.
+    """Numbers objects in the order of their first use, as a recording refers to them.
 
-    A recorder holds objects weakly, as long as the module has them; a replay keeps all, to find them by number.
+    A recorder holds objects weakly, while the module uses them; a replay keeps all, to look them up by number.
     """
 
     def __init__(self, keep):
         self.numbers, self.count, self.objects = WeakKeyDictionary(), 0, [] if keep else None
 
-    def of(self, thing):
-        if thing not in self.numbers:
-            self.numbers[thing], self.count = self.count, self.count + 1
+    def of(self, obj):
+        if obj not in self.numbers:
+            self.numbers[obj], self.count = self.count, self.count + 1
             if self.objects is not None:
-                self.objects.append(thing)
-        return self.numbers[thing]
+                self.objects.append(obj)
+        return self.numbers[obj]
 
 
 class RecordedObjects:
-    """Numbers the module's objects, alike in a recorder and in a replay."""
+    """Numbers the module's objects in the same way for a recorder and a replay."""
 
     def __init__(self, keep=False):
         self.endpoints, self.views, self.attempts, self.notes = (ObjectNumbers(keep) for _ in range(4))
 
-    def action(self, word, given):
-        if word == "send":
-            view, endpoint, time_out, attempt = given
-            return [word, self.views.of(view), self.endpoints.of(endpoint), time_out, self.attempts.of(attempt)]
-        if word == "withdraw":
-            return [word, self.views.of(given[0]), self.attempts.of(given[1])]
-        if word == "remind":
-            return [word, given[0], self.notes.of(given[1])]
-        if word == "probe":
-            return [word, self.endpoints.of(given[0])]
-        if word == "hold_place":
-            return [word, self.views.of(given[0]), self.endpoints.of(given[1])]
-        if word in ("let_go", "scrap"):
-            return [word, self.views.of(given[0])]
-        if word == "turn_back":
-            return [word, self.views.of(given[0]), given[1]]
-        return [word, *given]
+    def action(self, method, args):
+        if method == "send":
+            view, endpoint, time_out, attempt = args
+            return [method, self.views.of(view), self.endpoints.of(endpoint), time_out, self.attempts.of(attempt)]
+        if method == "withdraw":
+            return [method, self.views.of(args[0]), self.attempts.of(args[1])]
+        if method == "remind":
+            return [method, args[0], self.notes.of(args[1])]
+        if method == "probe":
+            return [method, self.endpoints.of(args[0])]
+        if method == "hold_place":
+            return [method, self.views.of(args[0]), self.endpoints.of(args[1])]
+        if method in ("let_go", "scrap"):
+            return [method, self.views.of(args[0])]
+        if method == "turn_back":
+            return [method, self.views.of(args[0]), args[1]]
+        return [method, *args]
 
 
 class RecordingHost:
-    """Stands between the module and its host: records each action and passes it on."""
+    """Host proxy: records each action of the module and passes it on to the host, if there is one."""
 
-    def __init__(self, names, host=None):
-        self.names, self.host, self.actions = names, host, []
+    def __init__(self, objects, host=None):
+        self.objects, self.host, self.actions = objects, host, []
 
-    def __getattr__(self, word):
-        def act(*given):
-            self.actions.append(self.names.action(word, given))
+    def __getattr__(self, method):
+        def act(*args):
+            self.actions.append(self.objects.action(method, args))
             if self.host is not None:
-                return getattr(self.host, word)(*given)
+                return getattr(self.host, method)(*args)
 
         return act
 
@@ -101,23 +101,23 @@
 
 
 def _view_fields(view, use_cases):
-    told = {f.name: getattr(view, f.name) for f in fields(view) if f.name != "use_case"}
-    return [use_cases.index(view.use_case), told]
+    values = {f.name: getattr(view, f.name) for f in fields(view) if f.name != "use_case"}
+    return [use_cases.index(view.use_case), values]
 
 
 class Recorder:
-    """A Router's stand-in towards its host: the same event methods, each written down before it is passed on.
+    """Router proxy with the same event methods: passes each event on and writes it with the resulting actions.
 
-    What it keeps in memory lives as long as the module's own objects; the file grows by some 16 bytes an event.
+    Its memory use is bounded by the module's own objects; the file grows by about 16 bytes per event.
     """
 
     def __init__(
         self, router_class, path, host, *, seed, routers, zone, use_cases, accounts, permits, lawbook, now=0, about=""
     ):
-        self.names, self.use_cases = RecordedObjects(), list(use_cases)
-        self.recording_host = RecordingHost(self.names, host)
+        self.objects, self.use_cases = RecordedObjects(), list(use_cases)
+        self.recording_host = RecordingHost(self.objects, host)
         self.encoder, self.file = msgspec.msgpack.Encoder(), gzip.open(path, "wb", compresslevel=3)
-        self._put(
+        self._write(
             Head(
                 seed,
                 routers,
@@ -142,41 +142,43 @@
             now=now,
         )
 
-    def __getattr__(self, word):
-        return getattr(self.router, word)  # what the host reads of the module: workers, questions
+    def __getattr__(self, name):
+        return getattr(self.router, name)  # attributes that the host reads, such as workers and requests
 
-    def _put(self, what):
-        raw = self.encoder.encode(what)
-        self.file.write(len(raw).to_bytes(4, "little") + raw)
+    def _write(self, entry):
+        frame = self.encoder.encode(entry)
+        self.file.write(len(frame).to_bytes(4, "little") + frame)
 
-    def _event(self, word, now, given, *args):
-        getattr(self.router, word)(now, *args)
-        self._put(Step(word, now, given, self.recording_host.take_actions()))
+    def _record(self, method, now, recorded_args, *args):
+        getattr(self.router, method)(now, *args)
+        self._write(Step(method, now, recorded_args, self.recording_host.take_actions()))
 
     def listed(self, now, endpoints):
-        self._event("listed", now, [[self.names.endpoints.of(b), asdict(b)] for b in endpoints], endpoints)
+        self._record("listed", now, [[self.objects.endpoints.of(b), asdict(b)] for b in endpoints], endpoints)
 
     def told(self, now, endpoints):
-        self._event(
+        self._record(
             "told",
             now,
-            [[self.names.endpoints.of(b), b.heard and asdict(b.heard), b.trial] for b in endpoints],
+            [[self.objects.endpoints.of(b), b.heard and asdict(b.heard), b.trial] for b in endpoints],
             endpoints,
         )
 
     def arrived(self, now, view):
-        self._event("arrived", now, [self.names.views.of(view), *_view_fields(view, self.use_cases)], view)
+        self._record("arrived", now, [self.objects.views.of(view), *_view_fields(view, self.use_cases)], view)
 
     def first_token(self, now, view, attempt):
-        self._event("first_token", now, [self.names.views.of(view), self.names.attempts.of(attempt)], view, attempt)
+        self._record(
+            "first_token", now, [self.objects.views.of(view), self.objects.attempts.of(attempt)], view, attempt
+        )
 
     def outcome(self, now, view, attempt, outcome, final, kept, report):
-        self._event(
+        self._record(
             "outcome",
             now,
             [
-                self.names.views.of(view),
-                self.names.attempts.of(attempt),
+                self.objects.views.of(view),
+                self.objects.attempts.of(attempt),
                 outcome,
                 final,
                 kept,
@@ -191,41 +193,41 @@
         )
 
     def place(self, now, view, endpoint, held):
-        self._event(
-            "place", now, [self.names.views.of(view), self.names.endpoints.of(endpoint), held], view, endpoint, held
+        self._record(
+            "place", now, [self.objects.views.of(view), self.objects.endpoints.of(endpoint), held], view, endpoint, held
         )
 
     def left(self, now, view):
-        self._event("left", now, [self.names.views.of(view)], view)
+        self._record("left", now, [self.objects.views.of(view)], view)
 
     def probed(self, now, endpoint, outcome, report):
-        self._event(
+        self._record(
             "probed",
             now,
-            [self.names.endpoints.of(endpoint), outcome, report and asdict(report)],
+            [self.objects.endpoints.of(endpoint), outcome, report and asdict(report)],
             endpoint,
             outcome,
             report,
         )
 
-    def reminded(self, now, what):
-        self._event("reminded", now, [self.names.notes.of(what)], what)
+    def reminded(self, now, note):
+        self._record("reminded", now, [self.objects.notes.of(note)], note)
 
     def close(self):
         self.file.close()
 
 
 def read(path):
-    """(Head, steps one by one). Raises ValueError on what is no record of this version; a cut end is passed over."""
+    """(Head, iterator of steps). Raises ValueError unless it is a recording of this version; a truncated end is ignored."""
 
     def steps(file):
         decoder = msgspec.msgpack.Decoder(Step)
-        while (raw := _piece(file)) is not None:
-            yield decoder.decode(raw)
+        while (frame := _read_frame(file)) is not None:
+            yield decoder.decode(frame)
 
     file = gzip.open(path, "rb")
     try:
-        head = msgspec.msgpack.decode(_piece(file) or b"", type=Head)
+        head = msgspec.msgpack.decode(_read_frame(file) or b"", type=Head)
     except (msgspec.MsgspecError, OSError) as fault:
         raise ValueError(f"{path}: no record of module events: {fault}") from fault
     if head.v != VERSION:
@@ -233,10 +235,10 @@
     return head, steps(file)
 
 
-def _piece(file):
+def _read_frame(file):
     try:
         size = int.from_bytes(file.read(4), "little")
-        raw = file.read(size)
-    except EOFError:  # its writer was killed
+        frame = file.read(size)
+    except EOFError:  # the process that wrote it was killed
         return None
-    return raw if size and len(raw) == size else None
+    return frame if size and len(frame) == size else None
--- a/ramppulley/service/naming.py
+++ b/ramppulley/service/naming.py
@@ -1,6 +1,6 @@
-"""Who asks, for what, how patiently: read from a question's metadata by the rules that the orders file sets. Pure.
+"""Derives tenant, request class, deadline, session and prefix of a request from its metadata and body. Pure.
 
-Shared by all fronts: metadata is a mapping of lower-case names to texts (HTTP headers, gRPC metadata).
+Shared by all fronts. The rules come from the settings; metadata maps lower-case names to text (HTTP headers, gRPC metadata).
 """
 
 import math
@@ -14,13 +14,13 @@
 from ramppulley.service.clock import TENTHS
 from ramppulley.service.neutral import CHAT, COMPLETION, RERANK
 
-PER_MESSAGE = 16  # bytes' worth of a message's frame
-TEXT_MOST = 256  # characters kept of a name that a client sends
+MESSAGE_OVERHEAD_BYTES = 16  # added for the framing of each message
+MAX_NAME_LENGTH = 256  # characters; longer names from clients are cut
 
 
 @dataclass
 class Naming:
-    """Where each thing comes from. `by_kind` and `by_model` come before `fallback`; a header before both."""
+    """Settings of the derivation. The request class comes from the header, else `by_model`, `by_kind`, `fallback`."""
 
     use_cases: frozenset[str]
     fallback: str
@@ -30,61 +30,66 @@
     session_header: str = "x-session-id"
     patience_header: str = "x-request-timeout"
     receipt_header: str = "idempotency-key"
-    keys: dict[str, str] = field(default_factory=dict)  # API key -> account
+    keys: dict[str, str] = field(default_factory=dict)  # API key -> tenant
     keys_needed: bool = False
 
 
-class Unnamed(Exception):
-    """Metadata that cannot be used; `status` and `field` for the front's answer."""
+class MetadataError(Exception):
+    """Metadata that cannot be used; `status` and `param` are for the front's error response."""
 
-    def __init__(self, text: str, status: int = 400, at: str | None = None) -> None:
+    def __init__(self, text: str, status: int = 400, param: str | None = None) -> None:
         super().__init__(text)
-        self.status, self.at = status, at
+        self.status, self.param = status, param
 
 
-def account_of(naming: Naming, metadata: Mapping[str, str]) -> str:
-    """The account of the API key; raises Unnamed where a key is needed and not known."""
+def tenant_of(naming: Naming, metadata: Mapping[str, str]) -> str:
+    """The tenant of the API key; raises MetadataError if a key is required and this one is missing or unknown."""
     scheme, _, key = metadata.get("authorization", "").partition(" ")
     if scheme.lower() == "bearer" and key.strip() in naming.keys:
         return naming.keys[key.strip()]
     if naming.keys_needed:
-        raise Unnamed("no such API key" if key else "an API key is needed: Authorization: Bearer ...", 401)
+        raise MetadataError("no such API key" if key else "an API key is needed: Authorization: Bearer ...", 401)
     return ""
 
 
-def use_case_of(naming: Naming, metadata: Mapping[str, str], kind: str, model: str) -> str:
-    """The request class: told, else by the model, the kind, or the one that is left."""
-    named = metadata.get(naming.use_case_header)
-    if named is not None:
-        if named not in naming.use_cases:
-            raise Unnamed(f"{naming.use_case_header}: no use case {named[:TEXT_MOST]!r}", 400)
-        return named
+def request_class_of(naming: Naming, metadata: Mapping[str, str], kind: str, model: str) -> str:
+    """The request class: from the header, else by the model, the kind, or the fallback."""
+    name = metadata.get(naming.use_case_header)
+    if name is not None:
+        if name not in naming.use_cases:
+            raise MetadataError(f"{naming.use_case_header}: no use case {name[:MAX_NAME_LENGTH]!r}", 400)
+        return name
     return naming.by_model.get(model) or naming.by_kind.get(kind) or naming.fallback
 
 
-def patience_of(naming: Naming, metadata: Mapping[str, str], use_case: RequestClass, prompt: int) -> int:
-    """Tenths of a millisecond until the client leaves: its own word, else the outer limit (twice the promise's slope)."""
-    outer = use_case.outer_limit + 2 * use_case.promised_per_k * prompt // 1000
-    told = metadata.get(naming.patience_header)
-    if told is None:
-        return outer
+def deadline_of(naming: Naming, metadata: Mapping[str, str], request_class: RequestClass, prompt: int) -> int:
+    """Tenths of a millisecond until the client's deadline: from its header, else the limit of the request class, to which
+    prompt tokens add at twice the slope of the latency target. A header is limited to ten times that."""
+    default = request_class.outer_limit + 2 * request_class.promised_per_k * prompt // 1000
+    value = metadata.get(naming.patience_header)
+    if value is None:
+        return default
     try:
-        seconds = float(told)
+        seconds = float(value)
     except ValueError:
         seconds = math.nan
     if not math.isfinite(seconds) or seconds <= 0:
-        raise Unnamed(f"{naming.patience_header}: seconds above 0 are needed, not {told[:40]!r}")
-    return max(1, min(int(seconds * TENTHS), 10 * outer))
+        raise MetadataError(f"{naming.patience_header}: seconds above 0 are needed, not {value[:40]!r}")
+    return max(1, min(int(seconds * TENTHS), 10 * default))
 
 
-def weigh(kind: str, body: dict[str, Any]) -> tuple[int, int]:
-    """(bytes of text, tokens counted already) of a body; token lists count themselves.
+def measure_prompt(kind: str, body: dict[str, Any]) -> tuple[int, int]:
+    """(bytes of text, tokens) of a body's prompt; token lists count as tokens, text as bytes.
 
-    >>> weigh("embeddings", {"input": ["abc", [1, 2, 3]]}), weigh(RERANK, {"query": "ab", "documents": ["cd", "e"]})
+    >>> (measure_prompt("embeddings", {"input": ["abc", [1, 2, 3]]}),
+    ...  measure_prompt(RERANK, {"query": "ab", "documents": ["cd", "e"]}))
     ((3, 3), (7, 0))
     """
     if kind == CHAT:
-        return sum(PER_MESSAGE + _size(m.get("content")) + _size(m.get("tool_calls")) for m in body["messages"]), 0
+        return sum(
+            MESSAGE_OVERHEAD_BYTES + _text_bytes(m.get("content")) + _text_bytes(m.get("tool_calls"))
+            for m in body["messages"]
+        ), 0
     if kind == RERANK:
         documents = [d if isinstance(d, str) else d.get("text", "") for d in body["documents"]]
         return len(documents) * len(body["query"].encode()) + sum(len(d.encode()) for d in documents), 0
@@ -99,36 +104,36 @@
     )
 
 
-def _size(value: object) -> int:
-    """Bytes of text in a message's content, however it is nested."""
+def _text_bytes(value: object) -> int:
+    """Bytes of text in a message's content, at any nesting depth."""
     if isinstance(value, str):
         return len(value.encode())
     if isinstance(value, list):
-        return sum(map(_size, value))
+        return sum(map(_text_bytes, value))
     if isinstance(value, dict):
-        return sum(map(_size, value.values()))
+        return sum(map(_text_bytes, value.values()))
     return 0
 
 
-def beginning_of(kind: str, body: dict[str, Any]) -> tuple[str, int]:
-    """(name, bytes) of the beginning that a question shares with others: `prompt_cache_key`, else system messages."""
+def prefix_of(kind: str, body: dict[str, Any]) -> tuple[str, int]:
+    """(key, bytes) of the prefix shared with other requests: `prompt_cache_key`, else a hash of the system messages."""
     if kind != CHAT:
-        return str(body.get("prompt_cache_key") or "")[:TEXT_MOST], 0
+        return str(body.get("prompt_cache_key") or "")[:MAX_NAME_LENGTH], 0
     size, digest = 0, xxhash.xxh3_64()
     for message in body["messages"]:
         if message.get("role") not in ("system", "developer"):
             break
         digest.update(repr(message.get("content")).encode())
-        size += PER_MESSAGE + _size(message.get("content"))
+        size += MESSAGE_OVERHEAD_BYTES + _text_bytes(message.get("content"))
     key = body.get("prompt_cache_key")
-    return (str(key)[:TEXT_MOST] if key else digest.hexdigest() if size else ""), size
+    return (str(key)[:MAX_NAME_LENGTH] if key else digest.hexdigest() if size else ""), size
 
 
 def session_of(naming: Naming, metadata: Mapping[str, str], kind: str, body: dict[str, Any]) -> str:
-    """The session's name: told, else by how the conversation begins, which its later turns repeat."""
-    told = metadata.get(naming.session_header)
-    if told:
-        return told[:TEXT_MOST]
+    """The session: from its header, else a hash of the messages up to the first user message, which later turns repeat."""
+    name = metadata.get(naming.session_header)
+    if name:
+        return name[:MAX_NAME_LENGTH]
     if kind != CHAT:
         return ""
     digest = xxhash.xxh3_64()
--- a/ramppulley/service/neutral.py
+++ b/ramppulley/service/neutral.py
@@ -1,4 +1,4 @@
-"""What passes between a front, the core and an engine connector: one neutral question, its pieces, its one ending.
+"""Protocol-independent types passed between fronts, the core and engine connectors: requests, attempts, final answers.
 
 Times are whole tenths of a millisecond, as in `door`.
 """
@@ -11,63 +11,65 @@
 
 CHAT, COMPLETION, EMBEDDINGS, RERANK = "chat", "completion", "embeddings", "rerank"
 KINDS = CHAT, COMPLETION, EMBEDDINGS, RERANK
-ONE_STAGE = EMBEDDINGS, RERANK  # read and answered by one worker, in one piece
+ONE_STAGE = EMBEDDINGS, RERANK  # answered by one worker, as a whole
 
-# How a request ends. These values stand in logs, metrics and record files.
+# Results of a request. These values are written to logs, metrics and event logs.
 COMPLETED, REJECTED, FAILED, CLIENT_LEFT = "fulfilled", "turned back", "scrapped", "left"
 
 
 class KvStep(StrEnum):
-    """What became of a KV state, as far as the router knows."""
+    """Steps of a KV state's lifecycle, as far as the router knows."""
 
-    HELD = "held"  # a prefill ended well
-    TAKEN = "taken"  # the decode's first token came
-    GONE = "gone"  # a decode worker said so, or had fetched it
-    RELEASE = "release"  # asked for, with no attempt out
-    RELEASE_BESIDE = "release beside a decode"  # which keeps it where it did arrive
+    HELD = "held"  # a prefill succeeded
+    TAKEN = "taken"  # the first token of the decode arrived
+    GONE = "gone"  # reported missing by a decode worker, or fetched already
+    RELEASE = "release"  # requested with no attempt open
+    RELEASE_BESIDE = (
+        "release beside a decode"  # requested with a decode open, which keeps the state if it has reached its worker
+    )
 
 
 @dataclass(eq=False)
 class InferenceRequest:
-    """One request as any front hands it in; `body` is what its connector sends on, with unknown fields untouched."""
+    """A request as a front submits it. The connector forwards `body`, with unknown fields unchanged."""
 
     name: str  # unique at this router; goes to the engines as X-Request-Id
     kind: str
     model: str
-    request_class: str | int  # as the core's table of classes has it: a name, or on the platform a number
-    body: Any  # as the front's own connector sends it on
-    deadline: int  # the client leaves after this
+    request_class: str | int  # key in the core's table of classes: a name, or on the platform a number
+    body: Any  # in the form that the front's connector forwards
+    deadline: int  # time from acceptance until the client gives up
     prompt: int  # tokens, estimated
-    weighed: int = 0  # bytes that the estimate came from; 0 = counted, nothing to learn
+    prompt_bytes: int = 0  # bytes that the estimate is based on; 0 = tokens were counted, not estimated
     max_out: int = 1  # tokens
     stream: bool = False
-    with_usage: bool = False  # the client itself asked for the usage event
+    with_usage: bool = False  # the client asked for the usage event
     tenant: str = ""
     session: str = ""
     prefix: str = ""
     prefix_tokens: int = 0
-    idempotency_key: str = ""  # passed on to the engines
-    likely_out: int | None = None  # tokens, where there is a hint
+    idempotency_key: str = ""  # forwarded to the engines
+    likely_out: int | None = None  # expected output tokens, if known
     value_share: float = 1.0  # as `benefit_share` in door.RequestView
     whole: bool = False  # as in door.RequestView
 
 
 @dataclass(frozen=True)
 class FinalAnswer:
-    """The one final answer."""
+    """The final answer of a request; each request has exactly one."""
 
     result: str  # COMPLETED, REJECTED, FAILED or CLIENT_LEFT
-    retryable: bool  # trying again is harmless
+    retryable: bool  # the client may safely retry
     reason: str = ""
-    retry_after: int = 0  # time after which it may be tried again; 0 = not named
-    status: int = 200  # of the engine's own answer, where that is the answer
-    streamed: bool = False  # tokens were passed on before
-    body: bytes = b""  # an answer that came in one piece
+    retry_after: int = 0  # time after which the client may retry; 0 = not given
+    status: int = 200  # of the engine's response, if that is the answer
+    streamed: bool = False  # tokens were sent to the client before
+    body: bytes = b""  # of an answer that is not streamed
 
 
 @dataclass(frozen=True)
 class Usage:
-    """Tokens as the engine counted them."""
+    """Token counts reported by the engine."""
 
     prompt: int = 0
     cached: int = 0
@@ -76,15 +78,15 @@
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """How an attempt ended: the outcome that `engines.proof` derives, with what the engine reported."""
+    """The result of an attempt: the outcome derived by `engines.proof`, and the engine's reports."""
 
-    outcome: str  # one of door's
+    outcome: str  # one of the outcomes in `door`
     reason: str = ""
     report: door.LoadReport | None = None
     usage: Usage | None = None
-    state: Any = None  # after a read: what names the waiting state to a writer
-    status: int = 200  # of an answer that the engine gave and the client gets as it is
-    body: bytes = b""  # that answer, where it came in one piece
+    state: Any = None  # after a prefill: identifies the KV state to a decode worker
+    status: int = 200  # of a response that is passed on to the client unchanged
+    body: bytes = b""  # of that response, if it is not streamed
 
 
 @dataclass(eq=False)
@@ -98,40 +100,40 @@
     is_prefill: bool
     time_out: int
     started: int
-    state: Any = None  # KV state that this attempt fetches
-    first_byte_deadline: int | None = None  # its first byte may not be written later
+    state: Any = None  # KV state that this attempt uses
+    first_byte_deadline: int | None = None  # latest time to write its first byte
     first_token_at: int | None = None
     cancelled: bool = False
     ended: bool = False
-    task: Any = None  # the connector's
+    task: Any = None  # set by the connector
     result: tuple[int, AttemptResult] | None = None  # (time, result)
-    stage: str = ""  # how far it came, by the connector
-    connections: Any = None  # its worker's, by the connector
-    listed_state: Any = None  # what the list said of the worker when it was chosen, by the connector
-    remaining: int = 0  # of `time_out`, when its first byte was about to be written
+    stage: str = ""  # its progress, set by the connector
+    connections: Any = None  # the connections to its worker, set by the connector
+    listed_state: Any = None  # the worker's entry in the list when it was chosen, set by the connector
+    remaining: int = 0  # rest of `time_out` just before its first byte was written
 
 
 class KvEvent(NamedTuple):
-    """One step of the KV state of a request: held, taken, gone, or a release that was asked for."""
+    """A step in the lifecycle of a request's KV state."""
 
     at: int
     what: KvStep
-    worker: str = ""  # that held it
+    worker: str = ""  # that holds the state
 
 
 @dataclass(eq=False)
 class TrackedRequest:
-    """One request from its acceptance to its final answer and the result of its last attempt."""
+    """The state of a request from acceptance until it has its final answer and the results of all its attempts."""
 
     request: InferenceRequest
     view: door.RequestView
     sink: Any
     accepted_at: int
     attempts: list[EngineAttempt] = field(default_factory=list)
-    state: Any = None  # waiting at `state_endpoint`
+    state: Any = None  # identifies the KV state held at `state_endpoint`
     state_endpoint: door.Endpoint | None = None
-    held_since: int = 0  # when a worker answered last, that holds it or refused it
-    release_asked: bool = False  # for `state`, beside a decode that is out
+    held_since: int = 0  # time of the last response of a worker to an attempt
+    release_asked: bool = False  # the release of `state` was requested while a decode was open
     kv_events: list[KvEvent] = field(default_factory=list)
     reserved_endpoint: door.Endpoint | None = None
     reserved_at: int | None = None  # when the engine confirmed the reservation
@@ -142,26 +144,26 @@
 
     @property
     def open_attempts(self) -> list[EngineAttempt]:
-        """Its attempts that have no outcome yet."""
+        """Attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if not attempt.ended]
 
 
 class ResponseSink(Protocol):
-    """The front's side of one request."""
+    """Receives the response of one request; implemented by the fronts."""
 
     async def piece(self, data: bytes) -> None:
-        """Passes one event's data on; returns when the client's socket took it. Raises OSError: the client left."""
+        """Sends the data of one event; returns when the client's socket took it. Raises OSError if the client left."""
 
     def gone(self) -> bool:
-        """Whether nobody waits for an answer any more; asked just before each attempt's first byte."""
+        """Whether the client is gone; called just before the first byte of each attempt."""
 
-    def final(self, ending: FinalAnswer) -> None:
-        """Called exactly once, and nothing after it."""
+    def final(self, final_answer: FinalAnswer) -> None:
+        """Ends the response; called exactly once, as the last call."""
 
 
 class Connector(Protocol):
-    """The engines' side. Reports by Core.first_token, Core.attempt_ended, Core.reservation_answered and Core.probed, never
-    from within a call."""
+    """Carries out attempts at the engines. Reports through Core.first_token, Core.attempt_ended,
+    Core.reservation_answered and Core.probed, but never from within one of these calls."""
 
     def start(self, core: Any, attempt: EngineAttempt) -> None: ...
     def cancel(self, attempt: EngineAttempt) -> None: ...
--- a/ramppulley/service/permission.py
+++ b/ramppulley/service/permission.py
@@ -1,7 +1,7 @@
-"""Whether something may be sent, repeated, closed, taken or released now. Pure: typed facts in, a typed refusal or None out.
+"""Last checks before an attempt, a repeat, a close, an acceptance or a release. Pure: facts in, a Refusal or None out.
 
-Every path that does one of these asks here just before it does, with no wait in between; which worker and when is the
-decision module's. A refusal is an ordinary event and is counted by its reason (`service.audit`).
+Every code path that does one of these checks here immediately before, without awaiting in between; the choice of worker and
+time is up to the decision module. A refusal is normal operation and is counted by its reason (`service.audit`).
 """
 
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Refusal(StrEnum):
-    """Why something may not be done now."""
+    """Why an action is refused. The values are counted and, for requests, sent to the client."""
 
     CLIENT_GONE = "client gone"
     WORKER_CHANGED = "the list told otherwise of the worker"
@@ -29,17 +29,17 @@
 
 
 class AttemptFacts(NamedTuple):
-    """What is known just before an attempt's first byte. `remaining`: of its time, tenths of a millisecond."""
+    """State just before the first byte of an attempt. `remaining`: rest of its timeout in tenths of a millisecond."""
 
     client_gone: bool
     answered: bool
     worker_changed: bool
-    window_over: bool  # of a repeat
+    window_over: bool  # too late for a repeat to be recognized as one
     remaining: int
 
 
 def may_begin_attempt(facts: AttemptFacts) -> Refusal | None:
-    """Rules 1 to 4: an attempt's first byte.
+    """Rules 1 to 4: whether to write the first byte of an attempt.
 
     >>> may_begin_attempt(AttemptFacts(False, False, False, False, 100))
     >>> may_begin_attempt(AttemptFacts(True, False, True, False, 100))
@@ -57,15 +57,16 @@
 
 
 class WriteFacts(NamedTuple):
-    """What is known of a request that is being written to a connection."""
+    """State of a request that is being written to a connection."""
 
-    was_idle: bool  # the connection, before this request
+    was_idle: bool  # the connection was idle before this request
     last_byte_written: bool
-    quiet: bool  # its peer has neither closed nor sent anything
+    quiet: bool  # the peer has neither closed nor sent anything
 
 
 def may_write_last_byte(facts: WriteFacts) -> Refusal | None:
-    """Rule 2: with its last byte a request may begin; on a connection that was idle, nothing may have come before it.
+    """Rule 2: the worker may run a request once it has the last byte. On a connection that was idle, the last byte is not
+    written if the peer has closed or sent anything before.
 
     >>> may_write_last_byte(WriteFacts(True, False, False)), may_write_last_byte(WriteFacts(False, False, False))
     (<Refusal.PEER_SPOKE: 'its peer closed, or sent what is no answer'>, None)
@@ -74,7 +75,7 @@
 
 
 def may_repeat_write(facts: WriteFacts) -> Refusal | None:
-    """Rule 2: the same attempt once more, on another connection.
+    """Rule 2: whether to repeat the same attempt on another connection.
 
     >>> may_repeat_write(WriteFacts(True, False, False)), may_repeat_write(WriteFacts(True, True, True))
     (None, <Refusal.LAST_BYTE_WRITTEN: 'the request may have begun'>)
@@ -83,24 +84,25 @@
 
 
 class RequestFacts(NamedTuple):
-    """What is known of a request that was read whole."""
+    """State when a request has been received completely."""
 
-    more_bytes: bool  # its client has sent more behind it
-    taking: bool  # no shutdown, or not long ago
+    more_bytes: bool  # the client has sent more bytes after it
+    accepting: bool  # not shutting down, or within the grace time of the shutdown
     id_used: bool
     open_requests: int
     max_requests: int
 
 
-def may_take_request(facts: RequestFacts) -> Refusal | None:
-    """Rules 1 and 2: from here on an answer is owed.
+def may_accept_request(facts: RequestFacts) -> Refusal | None:
+    """Rules 1 and 2: whether to accept a request, which must then get an answer.
 
-    >>> may_take_request(RequestFacts(False, True, False, 4, 5)), may_take_request(RequestFacts(False, False, False, 0, 5))
+    >>> (may_accept_request(RequestFacts(False, True, False, 4, 5)),
+    ...  may_accept_request(RequestFacts(False, False, False, 0, 5)))
     (None, <Refusal.ROUTER_STOPS: 'the router stops'>)
     """
     if facts.more_bytes:
         return Refusal.OUT_OF_TURN
-    if not facts.taking:
+    if not facts.accepting:
         return Refusal.ROUTER_STOPS
     if facts.id_used:
         return Refusal.ID_USED
@@ -108,7 +110,7 @@
 
 
 def may_close_idle(bytes_waiting: bool) -> Refusal | None:
-    """Rule 1: the close of a client's connection that waits for a request.
+    """Rule 1: whether to close a client connection that waits for a request.
 
     >>> may_close_idle(False), may_close_idle(True)
     (None, <Refusal.BYTES_UNREAD: 'bytes wait unread'>)
@@ -117,15 +119,15 @@
 
 
 class ReleaseFacts(NamedTuple):
-    """What is known of a request's KV state. A decode that is out keeps what it waits for."""
+    """State of a request's KV state and of its release. An open decode keeps the state that it waits for."""
 
     owed: bool
     running: bool
-    prefill_written: bool  # it may have left a state that nobody named yet
+    prefill_written: bool  # it may have created KV state that has not been reported yet
 
 
 def may_release(facts: ReleaseFacts) -> Refusal | None:
-    """Rule 5: a release frees what no attempt waits for, also what a prefill has just left.
+    """Rule 5: whether to release KV state. A release must come after the prefill, to include the state that it creates.
 
     >>> may_release(ReleaseFacts(True, False, False)), may_release(ReleaseFacts(True, False, True))
     (None, <Refusal.PREFILL_OUT: 'a prefill is out'>)
--- a/ramppulley/service/record.py
+++ b/ramppulley/service/record.py
@@ -1,7 +1,7 @@
-"""The event record: one line of JSON for each question, written when its last outcome is in.
+"""The event log: one line of JSON for each request, written after the outcome of its last attempt.
 
-Checkers, replays, bills, the planner and the console read this one format. A field is added with a default;
-a change of meaning raises VERSION.
+Checkers, replays, billing, the planner and the console read this format. New fields get a default; a change of a field's
+meaning increments VERSION.
 """
 
 from collections import Counter, deque
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class SendRecord:
-    """One send. Times: tenths of a millisecond on the machine's monotonic clock."""
+    """One attempt. Times are tenths of a millisecond of the machine's monotonic clock."""
 
     worker: str
     reads: bool
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class QuestionRecord:
-    """One question from taken to its last outcome."""
+    """One request, from its acceptance to the outcome of its last attempt."""
 
     name: str
     kind: str
@@ -58,28 +58,28 @@
     v: int = VERSION
 
 
-def _line(record):
-    """What a line says of it: the fields that are not as their defaults."""
-    told = {
-        one.name: getattr(record, one.name)
-        for one in fields(record)
-        if one.default is MISSING or getattr(record, one.name) != one.default
+def _to_dict(record):
+    """The fields of a record that differ from their defaults, as they are written to its line."""
+    values = {
+        f.name: getattr(record, f.name)
+        for f in fields(record)
+        if f.default is MISSING or getattr(record, f.name) != f.default
     }
-    if sends := told.pop("sends", ()):
-        told["sends"] = [_line(send) for send in sends]
-    if not told.get("kv_events"):
-        told.pop("kv_events", None)
-    return told
+    if sends := values.pop("sends", ()):
+        values["sends"] = [_to_dict(send) for send in sends]
+    if not values.get("kv_events"):
+        values.pop("kv_events", None)
+    return values
 
 
 class Book:
-    """The last records in memory, counts by kind and ending, and a file if one is named."""
+    """The most recent records, counts by kind, request class and result, and a file if a path is given."""
 
     def __init__(self, path=None, last=512):
         self.last, self.counts = deque(maxlen=last), Counter()
         self._file = None
         if path:
-            import msgspec  # here: a start on the platform, which writes none, would pay for it
+            import msgspec  # imported here to keep the start on the platform, which writes no file, fast
 
             self._encoder, self._file = msgspec.json.Encoder(), open(path, "ab")
 
@@ -87,7 +87,7 @@
         self.last.append(record)
         self.counts[record.kind, record.use_case, record.how] += 1
         if self._file:
-            self._file.write(self._encoder.encode(_line(record)) + b"\n")
+            self._file.write(self._encoder.encode(_to_dict(record)) + b"\n")
 
     def close(self):
         if self._file:
@@ -95,10 +95,10 @@
             self._file = None
 
 
-def read_book(path):
-    """All records of a file; raises ValueError that names the line of one that cannot be read.
+def read_event_log(path):
+    """All records of a file; raises ValueError with the number of a line that cannot be decoded.
 
-    A last line without its end is what a killed writer left: it is passed over.
+    An incomplete last line, which a killed process leaves, is ignored.
     """
     import msgspec
 
--- a/ramppulley/service/switchboard.py
+++ b/ramppulley/service/switchboard.py
@@ -1,14 +1,21 @@
-"""All pools of one router: which core takes a question, and what the whole is told to hold at most."""
+"""The pools of one router: selects the core for a request, limits open requests and exports metrics."""
 
 from prometheus_client import CollectorRegistry
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 
 class Switchboard:
-    """`cores` by pool; `routes` maps (kind, model) to a pool. `mark` tells this router's questions from others'."""
-
-    def __init__(self, cores, routes, naming, book, mark, most=20_000):
-        self.cores, self.routes, self.naming, self.book, self.mark, self.most = cores, routes, naming, book, mark, most
+    """`cores` by pool; `routes` maps (kind, model) to a pool. `router_prefix` makes request ids unique among routers."""
+
+    def __init__(self, cores, routes, naming, event_log, router_prefix, max_requests=20_000):
+        self.cores, self.routes, self.naming, self.event_log, self.router_prefix, self.max_requests = (
+            cores,
+            routes,
+            naming,
+            event_log,
+            router_prefix,
+            max_requests,
+        )
         self.registry = CollectorRegistry()
         self.registry.register(self)
 
@@ -19,21 +26,21 @@
     def models(self):
         return sorted({model for _, model in self.routes})
 
-    def room(self):
-        return self.pending() < self.most
+    def has_capacity(self):
+        return self.pending() < self.max_requests
 
     def pending(self):
         return sum(len(core.requests) for core in self.cores.values())
 
     def ready(self):
-        """Whether any pool has a worker to send to."""
+        """Whether any pool has a ready worker."""
         return any(worker.state == "ready" for core in self.cores.values() for worker in core.router.workers.values())
 
     def collect(self):
-        """Prometheus' collector: counted from the cores when asked, nothing kept twice."""
+        """Prometheus collector interface: reads the counts from the cores on each scrape."""
         ended = CounterMetricFamily("ramppulley_questions", "Final answers.", labels=["kind", "use_case", "ending"])
-        for (kind, case, how), count in self.book.counts.items():
-            ended.add_metric([kind, case, how], count)
+        for (kind, request_class, result), count in self.event_log.counts.items():
+            ended.add_metric([kind, request_class, result], count)
         taken = CounterMetricFamily("ramppulley_taken", "Questions taken.", labels=["pool"])
         pending = GaugeMetricFamily("ramppulley_pending", "Questions taken and not yet done with.", labels=["pool"])
         workers = GaugeMetricFamily("ramppulley_workers", "Workers on the list.", labels=["pool", "state"])
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -155,14 +155,14 @@
     from ramppulley.fronts.platform.server import PlatformFront
     from ramppulley.service.neutral import COMPLETED
 
-    send_ending = PlatformFront._send_ending
+    send_final_answer = PlatformFront._send_final_answer
 
     async def silent(self: Any, connection: Any, stream: Any, ending: Any, keep_alive: bool) -> bool:
         if ending.result != COMPLETED:
             return False
-        return await send_ending(self, connection, stream, ending, keep_alive)
+        return await send_final_answer(self, connection, stream, ending, keep_alive)
 
-    replace(PlatformFront, "_send_ending", silent)
+    replace(PlatformFront, "_send_final_answer", silent)
 
 
 def late_timers() -> None:
@@ -243,13 +243,13 @@
     """A release beside a decode that is out is taken for the last one."""
     from ramppulley.service.core import Core
 
-    release: Any = Core._release
+    release: Any = Core._release_kv_state
 
     def once(self: Any, tracked: Any) -> None:
         release(self, tracked)
         tracked.state = tracked.state_endpoint = None
 
-    replace(Core, "_release", once)
+    replace(Core, "_release_kv_state", once)
 
 
 def releases_once() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 
 from ramppulley import door
 from ramppulley.rules import Router
-from ramppulley.service.clock import PlayedClock
+from ramppulley.service.clock import VirtualClock
 from ramppulley.service.core import Core
 from ramppulley.service.estimate import Estimator
 from ramppulley.service.neutral import (
@@ -23,7 +23,7 @@
     InferenceRequest,
     Usage,
 )
-from ramppulley.service.record import Book, read_book
+from ramppulley.service.record import Book, read_event_log
 
 S = 10_000
 STATE = {"remote_engine_id": "r", "remote_block_ids": ["b"]}
@@ -46,7 +46,7 @@
 
 
 def world(effect="pure", places=False, pooled=False, book=None):
-    fake, clock = Fake(), PlayedClock(S)
+    fake, clock = Fake(), VirtualClock(S)
     case = door.RequestClass(2 * S, 0, 6 * S, 600, 1.0, effect)
     law = door.PolicySettings(2 * S, 0.3, 8 * S, 4.0, 3 * S, 3000, 10)
 
@@ -241,7 +241,7 @@
     book.close()
     with open(path, "ab") as file:
         file.write(b'{"name": "half')
-    (told,) = read_book(path)
+    (told,) = read_event_log(path)
     line = json.loads(path.read_bytes().splitlines()[0])
     assert told == book.last[-1] and "why" not in line and "why" not in line["sends"][0]  # the defaults
     assert told.how == COMPLETED and [s.outcome for s in told.sends] == ["read", "done"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -171,7 +171,7 @@
         await world.until(lambda: len(world.node.front.idle_connections) == len(asks))
         await asks[0].send(question("q-1"))
         front = world.node.front
-        assert all(front._make_room() for _ in asks[1:]) and not front._make_room()
+        assert all(front._evict_connection() for _ in asks[1:]) and not front._evict_connection()
         assert (await answer(asks[0]))[0] == 200
         assert await asks[1].receive() == await asks[-1].receive() == b""
         for transport in asks:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -106,4 +106,4 @@
     assert play(make) == play(Router)
     kept[0].recording_host.host = None  # the tiny host keeps all that it was asked
     gc.collect()
-    assert len(kept[0].names.views.numbers) < 10
+    assert len(kept[0].objects.views.numbers) < 10
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -153,7 +153,7 @@
                 conn.waiting_since -= server.MIN_IDLE_S
             client.sock.sendall(question("q-2"))
             await turns(count)
-            front._make_room()
+            front._evict_connection()
             assert is_whole(await client.until(END))
             client.sock.close()
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -35,7 +35,7 @@
     no_probes = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False}}
     async with World(settings=no_probes) as world:
         core, ticks = world.node.core, []
-        remind = core._remind
+        remind = core._on_reminder
 
         def held_up(note):
             while len(ticks) % 2 == 0 and time.monotonic_ns() % NS_PER_MS < 0.85 * NS_PER_MS:
@@ -44,7 +44,7 @@
                 ticks.append(core.clock.now())
             remind(note)
 
-        core._remind = held_up
+        core._on_reminder = held_up
         world.readers[0].scripts.append(silent)
         asking = asyncio.create_task(world.ask("q-1", req_deadline_ms="1500"))
         await asyncio.sleep(1.2)
