--- a/tests/client_endings.py
+++ b/tests/client_endings.py
@@ -1,4 +1,4 @@
-"""How a client leaves, by its blocking socket: when the call returns, the router's socket has been told."""
+"""Ways for a client to leave, on a blocking socket: when a call returns, the kernel has passed it to the router's socket."""
 
 import socket
 import struct
@@ -22,4 +22,4 @@
     sock.close()
 
 
-WAYS = [fin, half, reset, junk_and_fin]
+CLIENT_ENDINGS = [fin, half, reset, junk_and_fin]
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -1,4 +1,4 @@
-"""The one helper of the stories: a tiny host that keeps what the module asked for."""
+"""A minimal host of the decision module for tests; records the module's actions."""
 
 from itertools import count
 
@@ -37,8 +37,8 @@
     def send(self, view, endpoint, time_out, attempt):
         self.asked.append(("send", view, endpoint, attempt))
 
-    def __getattr__(self, word):
-        return lambda *parts: self.asked.append((word, *parts))
+    def __getattr__(self, method):
+        return lambda *args: self.asked.append((method, *args))
 
     def log(self, line):
         self.lines.append(line)
@@ -46,14 +46,14 @@
     def remind(self, wait, note):
         self.timers.append((self.now + wait, next(self.count), note))
 
-    # What a story says
+    # Called by tests
     def ask(self, prompt=1000, patience=60_000, session="a", prefix="", prefix_tokens=0, case=None, **more):
         view = door.RequestView(case or self.case, prompt, 300, patience, session, prefix, prefix_tokens, **more)
         self.router.arrived(self.now, view)
         return view
 
-    def told(self, word, view=None):
-        return [a for a in self.asked if a[0] == word and (view is None or a[1] is view)]
+    def told(self, method, view=None):
+        return [action for action in self.asked if action[0] == method and (view is None or action[1] is view)]
 
     def last(self, view):
         return self.told("send", view)[-1]
@@ -79,7 +79,7 @@
 
 
 def fleet():
-    """Two cells, each with two readers and two writers."""
+    """Two groups, each with two prefill workers and two decode workers."""
     return [
         endpoint(10 * cell + n, role, cell)
         for cell in (0, 1)
--- a/tests/test_accept_rate.py
+++ b/tests/test_accept_rate.py
@@ -1,4 +1,4 @@
-"""A flood of idle connections on a machine that is short of CPU: whoever comes behind it is heard in time."""
+"""A client that connects after a flood of idle connections is served in time, even if the machine is short of CPU."""
 
 import asyncio
 import socket
@@ -8,32 +8,32 @@
 
 from ramppulley.wire.sockets import Listener
 
-FLOOD, LATE_TURN_S, HEARD_WITHIN_S = 40, 0.03, 0.5
+FLOOD, ITERATION_DELAY_S, READ_LIMIT_S = 40, 0.03, 0.5
 
 
 @story
 async def test_a_client_behind_a_flood_is_heard_in_time_where_each_turn_of_the_loop_is_late():
-    loop, late, heard_at = asyncio.get_running_loop(), True, []
+    loop, slow, read_at = asyncio.get_running_loop(), True, []
 
-    def turn_late():
-        if late:
-            time.sleep(LATE_TURN_S)
-            loop.call_soon(turn_late)
+    def delay_iteration():
+        if slow:
+            time.sleep(ITERATION_DELAY_S)
+            loop.call_soon(delay_iteration)
 
     async def serve(transport):
         await transport.receive()
-        heard_at.append(loop.time())
+        read_at.append(loop.time())
 
     listener = Listener(serve).start()
     clients = [socket.create_connection(("127.0.0.1", listener.port)) for _ in range(FLOOD + 1)]
     clients[-1].sendall(b"request")
-    turn_late()
+    delay_iteration()
     began = loop.time()
     async with asyncio.timeout(10):
-        while not heard_at:
+        while not read_at:
             await asyncio.sleep(0.01)
-    late = False
+    slow = False
     await listener.stop()
     for client in clients:
         client.close()
-    assert heard_at[0] - began < HEARD_WITHIN_S
+    assert read_at[0] - began < READ_LIMIT_S
--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -1,8 +1,9 @@
-"""A request whose client has left while it waited is not sent on: each place where it can wait, each way of leaving.
+"""A request whose client left while it waited is not sent to a worker: each place to wait, each way to leave.
 
-The client is a blocking socket of this process: when its call returns, the router's socket has been told. The wait
-then ends in that very turn, before the router has looked, or some turns later. No attempt may follow, and nothing may
-stay held. A place is a coroutine: it brings one request of the client there and returns what ends the wait.
+The client is a blocking socket in this process, so the kernel has passed its close to the router's socket when the call
+returns. The wait ends in the same loop iteration, before the router has checked the socket, or some iterations later. No
+attempt may follow, and no resource may stay in use. A place is a coroutine that brings a request to one wait; it returns
+the client and a function that ends the wait.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 import socket
 
 import pytest
-from client_endings import WAYS
+from client_endings import CLIENT_ENDINGS
 from fakehost import S
 from platform_rig import SETTINGS, World, question
 from rig import CHAT, VECTORS, Rig, story
@@ -19,42 +20,42 @@
 from ramppulley.wire import http
 
 DECLINED = http.answer(503, {"Srv-Declined": "1"})
-PLAIN = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False, "ConnectTimeoutS": 2.0}}
-# a request waits for its probes for 0.02 of its target: longer here than a busy machine takes for a turn of the loop
-PROBING = SETTINGS | {
+SETTINGS_WITHOUT_PROBES = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False, "ConnectTimeoutS": 2.0}}
+# probes time out after 0.02 of the latency target, which is set so high that a busy machine does not reach it
+SETTINGS_WITH_SLOW_PROBES = SETTINGS | {
     "Bounds": SETTINGS["Bounds"] | {"ConnectTimeoutS": 2.0},
     "Lanes": [lane | {"AimS": 60.0, "GiveUpS": 120.0} for lane in SETTINGS["Lanes"]],
 }
 
 
-def client_of(router, data):
+def open_client(router, data):
     sock = socket.create_connection(("127.0.0.1", router.port))
     sock.sendall(data)
     return sock
 
 
-async def turns(count=20):
-    """Lets the loop run, with a look at all sockets each time."""
+async def run_loop(count=20):
+    """Runs the event loop for some iterations, each of which polls all sockets."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def held(of, word, gate):
-    """This coroutine method waits for the gate first, or for its caller's end."""
-    method = getattr(of, word)
+def hold_until(owner, method_name, gate):
+    """Makes a coroutine method wait for the gate before it runs."""
+    method = getattr(owner, method_name)
 
-    async def waits(*args, **more):
+    async def waits(*args, **kwargs):
         await gate.wait()
-        return await method(*args, **more)
+        return await method(*args, **kwargs)
 
-    setattr(of, word, waits)
+    setattr(owner, method_name, waits)
 
 
 def suspect_all(module):
-    """No worker is used, so that all requests wait in the queue; returns what ends that."""
+    """Makes all workers suspect, so that requests wait in the queue; returns a function that ends this."""
     for worker in module.workers.values():
         worker.doubt("unreachable", True)
-        worker.half_open_at += 60 * S  # none is tried before
+        worker.half_open_at += 60 * S  # no half-open probe before that
 
     def end(clock):
         for worker in module.workers.values():
@@ -68,10 +69,10 @@
 
 
 class Platform:
-    """The platform's router, `reads` and `writes` counted at its workers."""
+    """A router of the platform; attempts are counted at its workers."""
 
     def __init__(self, **shape):
-        self.world = World(**{"readers": 2, "settings": PLAIN} | shape)
+        self.world = World(**{"readers": 2, "settings": SETTINGS_WITHOUT_PROBES} | shape)
 
     async def __aenter__(self):
         await self.world.__aenter__()
@@ -82,14 +83,14 @@
     async def __aexit__(self, *_):
         await self.world.__aexit__()
 
-    def asks(self, name="q-1", **headers):
-        return client_of(self, question(name, **headers))
+    def send_request(self, name="q-1", **headers):
+        return open_client(self, question(name, **headers))
 
     def attempts(self):
         return sum(len(worker.of("POST")) for worker in self.world.workers)
 
-    async def works(self):
-        """Whoever asks next is served."""
+    async def assert_serves(self):
+        """The next request is served."""
         for worker in self.world.workers:
             worker.scripts.clear()
         assert (await self.world.ask("q-next"))[0] == 200
@@ -100,17 +101,17 @@
 
 
 async def half_a_request(router):
-    return client_of(router, question("q-1")[:-9]), lambda: None
+    return open_client(router, question("q-1")[:-9]), lambda: None
 
 
 async def no_room_for_its_connection(router):
-    most, make_room = router.listener.max_connections, router.listener.free_capacity
+    connection_limit, free_capacity = router.listener.max_connections, router.listener.free_capacity
     router.listener.max_connections, router.listener.free_capacity = 0, lambda: True
 
     def end():
-        router.listener.max_connections, router.listener.free_capacity = most, make_room
+        router.listener.max_connections, router.listener.free_capacity = connection_limit, free_capacity
 
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: router.listener._task_ended is not None)
     return client, end
 
@@ -118,15 +119,15 @@
 async def probes(router):
     gate = asyncio.Event()
     for worker in router.world.workers:
-        held(worker, "_answer", gate)
-    client = router.asks()
+        hold_until(worker, "_answer", gate)
+    client = router.send_request()
     await router.until(lambda: any(worker.of("GET") for worker in router.world.workers))
     return client, gate.set
 
 
 async def the_queue(router):
     trust = suspect_all(router.core.router)
-    client = router.asks(req_deadline_ms="6000")
+    client = router.send_request(req_deadline_ms="6000")
     await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
@@ -134,7 +135,7 @@
 async def the_queue_while_the_router_stops(router):
     client, end = await the_queue(router)
     router.stopping = asyncio.create_task(router.node.front.stop(0.0, 5.0))
-    await turns()
+    await run_loop()
     return client, end
 
 
@@ -147,7 +148,7 @@
 
     for worker in router.world.readers:
         worker.scripts.append(rejects)
-    client = router.asks()
+    client = router.send_request()
     await router.until(router.attempts)
     return client, gate.set
 
@@ -161,7 +162,7 @@
 
     for worker in router.world.readers:
         worker.scripts.append(breaks)
-    client = router.asks()
+    client = router.send_request()
     await router.until(router.attempts)
     return client, gate.set
 
@@ -175,7 +176,7 @@
 
     for worker in router.world.readers:
         worker.scripts.append(reads)
-    client = router.asks()
+    client = router.send_request()
     await router.until(router.attempts)
     return client, gate.set
 
@@ -189,7 +190,7 @@
         await transport.send(HEAD + b"zz\r\n")
 
     router.world.writers[0].scripts.append(spoils)
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: router.world.writers[0].of("POST"))
     return client, gate.set
 
@@ -203,7 +204,7 @@
         start(core, attempt)
 
     engines.start = started
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: engines.releases.running)
     return client, gate.set
 
@@ -220,17 +221,17 @@
         for connections in connections_of(router):
             connections._capacity.release()
 
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: router.engines.tasks)
-    await turns()
+    await run_loop()
     return client, end
 
 
 async def the_handshake(router):
     gate = asyncio.Event()
     for connections in connections_of(router):
-        held(connections, "_open", gate)
-    client = router.asks()
+        hold_until(connections, "_open", gate)
+    client = router.send_request()
     await router.until(
         lambda: any(
             attempt.stage == "connect" for tracked in router.core.requests.values() for attempt in tracked.open_attempts
@@ -255,20 +256,24 @@
 ]
 
 
-def each_way_at(places):
-    """A test of one place; it is run for each way of leaving, with the loop running before the wait ends and without."""
+def for_each_client_ending(places):
+    """Runs a test of one place for each way to leave, with and without loop iterations before the wait ends."""
 
     def made(test):
         @pytest.mark.parametrize("place", places)
         def run(place):
             @story
-            async def told():
-                cases = [(leaves, looks) for leaves in WAYS for looks in (False, True)]
+            async def run_test():
+                cases = [(leave, run_loop_first) for leave in CLIENT_ENDINGS for run_loop_first in (False, True)]
                 ends = await asyncio.gather(*(test(place, *case) for case in cases), return_exceptions=True)
-                failed = {(leaves.__name__, looks): end for (leaves, looks), end in zip(cases, ends) if end is not None}
+                failed = {
+                    (leave.__name__, run_loop_first): end
+                    for (leave, run_loop_first), end in zip(cases, ends)
+                    if end is not None
+                }
                 assert not failed
 
-            told()
+            run_test()
 
         run.__name__, run.__doc__ = test.__name__, test.__doc__
         return run
@@ -276,33 +281,33 @@
     return made
 
 
-async def leaves_and_is_not_sent_on(router, place, leaves, looks):
+async def assert_not_forwarded_after_leaving(router, place, leave, run_loop_first):
     client, end = await place(router)
     before = router.attempts()
-    leaves(client)
-    if looks:
-        await turns()
+    leave(client)
+    if run_loop_first:
+        await run_loop()
     end()
     await router.settled()
     assert router.attempts() == before, f"{router.attempts()} attempts, {before} before the client left"
     client.close()
 
 
-@each_way_at(PLATFORM_PLACES)
-async def test_on_the_platform_a_request_whose_client_left_while_it_waited_is_not_sent_on(place, leaves, looks):
-    async with Platform(settings=PROBING if place is probes else PLAIN) as router:
-        await leaves_and_is_not_sent_on(router, place, leaves, looks)
+@for_each_client_ending(PLATFORM_PLACES)
+async def test_on_the_platform_a_request_whose_client_left_while_it_waited_is_not_sent_on(place, leave, run_loop_first):
+    async with Platform(settings=SETTINGS_WITH_SLOW_PROBES if place is probes else SETTINGS_WITHOUT_PROBES) as router:
+        await assert_not_forwarded_after_leaving(router, place, leave, run_loop_first)
         if place is the_queue_while_the_router_stops:
             await router.stopping
         elif place not in (a_release_before_it, an_attempt_that_breaks, probes):
-            await router.works()  # no worker, connection or place was left in use
+            await router.assert_serves()  # no worker, connection or reservation stayed in use
 
 
 # The OpenAI front
 
 
 class OpenAI:
-    """The OpenAI front's router, attempts counted at its engines."""
+    """A router of the OpenAI front; attempts are counted at its engines."""
 
     def __init__(self, **orders):
         self.rig = Rig(orders, cells=1, readers=2, writers=2, pooled=1)
@@ -311,9 +316,8 @@
         await self.rig.__aenter__()
         self.port, self.engines, self.listener = self.rig.port, self.rig.daemon.engines, self.rig.daemon.front.listener
         self.core = self.rig.board.cores["chat"]
-        for (
-            worker
-        ) in self.engines.workers.values():  # as after an answer of each: else what it keeps ends by its own time
+        # as after an answer of each engine; without the extension their KV state would end only by its timeout
+        for worker in self.engines.workers.values():
             worker.extensions = worker.extensions | {"release"}
         return self
 
@@ -323,8 +327,8 @@
     def engines_of(self, role):
         return [standin for standin in self.rig.fleet.standins.values() if standin.engine.kind.role == role]
 
-    def asks(self, stream=b"true", times=1):
-        return client_of(self, chat(stream) * times)
+    def send_request(self, stream=b"true", times=1):
+        return open_client(self, chat_request(stream) * times)
 
     def attempts(self):
         return len(self.rig.fleet.ledger)
@@ -334,7 +338,7 @@
             while not true():
                 await asyncio.sleep(0.005)
 
-    async def works(self):
+    async def assert_serves(self):
         assert (await self.rig.chat()).done
 
     async def settled(self):
@@ -342,49 +346,49 @@
         await self.rig.settled()
 
 
-def chat(stream=b"true"):
+def chat_request(stream=b"true"):
     body = b'{"model":"%s","messages":[{"role":"user","content":"hi"}],"max_tokens":4,"stream":%s}'
-    told = {"host": "x", "content-type": "application/json"}
-    return http.request("POST", "/v1/chat/completions", told, body % (CHAT.encode(), stream))
+    headers = {"host": "x", "content-type": "application/json"}
+    return http.request("POST", "/v1/chat/completions", headers, body % (CHAT.encode(), stream))
 
 
 async def half_a_body(router):
-    client = client_of(router, chat()[:-9])
+    client = open_client(router, chat_request()[:-9])
     await router.until(lambda: router.listener.tasks)
     return client, lambda: None
 
 
 async def the_openai_queue(router):
     trust = suspect_all(router.core.router)
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
 
 async def the_openai_queue_for_a_whole_answer(router):
     trust = suspect_all(router.core.router)
-    client = router.asks(stream=b"false")
+    client = router.send_request(stream=b"false")
     await router.until(lambda: router.core.router.admission.new_requests)
     return client, lambda: trust(router.core.clock)
 
 
 async def the_queue_behind_a_request_on_its_connection(router):
-    """The first request is being prefilled, and the second one came in a read of its own."""
+    """The first request is being prefilled; the second one arrived later, in a separate read."""
     gate = asyncio.Event()
     for standin in router.engines_of("read"):
-        held(standin.generation, "prefill", gate)
-    client = router.asks()
+        hold_until(standin.generation, "prefill", gate)
+    client = router.send_request()
     await router.until(router.attempts)
-    client.sendall(chat())
-    await turns()
+    client.sendall(chat_request())
+    await run_loop()
     return client, gate.set
 
 
 async def two_requests_in_one_read(router):
     gate = asyncio.Event()
     for standin in router.engines_of("read"):
-        held(standin.generation, "prefill", gate)
-    client = router.asks(times=2)
+        hold_until(standin.generation, "prefill", gate)
+    client = router.send_request(times=2)
     await router.until(router.attempts)
     return client, gate.set
 
@@ -399,7 +403,7 @@
 
     for standin in router.engines_of("read"):
         standin.admission.take = functools.partial(full, standin)
-    client = router.asks()
+    client = router.send_request()
     await router.until(router.attempts)
     return client, gate.set
 
@@ -407,8 +411,8 @@
 async def the_openai_prefill(router):
     gate = asyncio.Event()
     for standin in router.engines_of("read"):
-        held(standin.generation, "prefill", gate)
-    client = router.asks()
+        hold_until(standin.generation, "prefill", gate)
+    client = router.send_request()
     await router.until(router.attempts)
     return client, gate.set
 
@@ -423,7 +427,7 @@
 
     for standin in router.engines_of("write"):
         standin.generation.decode = breaks
-    client = router.asks(stream)
+    client = router.send_request(stream)
     await router.until(lambda: router.rig.of("write"))
     return client, gate.set
 
@@ -433,15 +437,15 @@
 
 
 async def a_place_held_ahead(router):
-    """The engine answers the hold only after the client has left: what it holds then has to go as well."""
+    """The engine confirms the reservation only after the client has left: it must be released as well."""
     gate = asyncio.Event()
-    await router.works()  # the engines have announced their extensions
+    await router.assert_serves()  # the engines have announced their extensions
     for standin in router.engines_of("write"):
-        held(standin.kv, "hold", gate)
+        hold_until(standin.kv, "hold", gate)
     for standin in router.engines_of("read"):
-        held(standin.generation, "prefill", gate)
+        hold_until(standin.generation, "prefill", gate)
     before = router.attempts()
-    client = router.asks()
+    client = router.send_request()
     await router.until(lambda: router.attempts() > before)
     return client, gate.set
 
@@ -450,8 +454,8 @@
     core = router.rig.board.cores["vectors"]
     trust = suspect_all(core.router)
     body = b'{"model":"%s","input":"lock times"}' % VECTORS.encode()
-    told = {"host": "x", "content-type": "application/json"}
-    client = client_of(router, http.request("POST", "/v1/embeddings", told, body))
+    headers = {"host": "x", "content-type": "application/json"}
+    client = open_client(router, http.request("POST", "/v1/embeddings", headers, body))
     await router.until(lambda: core.router.admission.new_requests)
     return client, lambda: trust(core.clock)
 
@@ -471,22 +475,26 @@
 ]
 
 
-@each_way_at(OPENAI_PLACES)
-async def test_on_the_openai_front_a_request_whose_client_left_while_it_waited_is_not_sent_on(place, leaves, looks):
+@for_each_client_ending(OPENAI_PLACES)
+async def test_on_the_openai_front_a_request_whose_client_left_while_it_waited_is_not_sent_on(
+    place, leave, run_loop_first
+):
     async with OpenAI() as router:
-        await leaves_and_is_not_sent_on(router, place, leaves, looks)
+        await assert_not_forwarded_after_leaving(router, place, leave, run_loop_first)
         if place not in (an_engine_that_is_full, a_decode_that_breaks, a_decode_of_a_whole_answer_that_breaks):
-            await router.works()
+            await router.assert_serves()
 
 
 BEHIND_ANOTHER = [the_queue_behind_a_request_on_its_connection, two_requests_in_one_read]
 
 
-@each_way_at(BEHIND_ANOTHER)
-async def test_on_the_openai_front_no_request_behind_another_is_sent_on_once_the_client_has_left(place, leaves, looks):
+@for_each_client_ending(BEHIND_ANOTHER)
+async def test_on_the_openai_front_no_request_behind_another_is_sent_on_once_the_client_has_left(
+    place, leave, run_loop_first
+):
     async with OpenAI() as router:
-        await leaves_and_is_not_sent_on(router, place, leaves, looks)
-        await router.works()
+        await assert_not_forwarded_after_leaving(router, place, leave, run_loop_first)
+        await router.assert_serves()
 
 
 @story
@@ -494,20 +502,20 @@
     async with OpenAI() as router:
         client, _ = await the_queue_behind_a_request_on_its_connection(router)
         client.close()
-        async with asyncio.timeout(1):  # the attempt's own time-out is 2 s
+        async with asyncio.timeout(1):  # the attempt's timeout is 2 s
             while router.core.requests or router.listener.tasks:
                 await asyncio.sleep(0.01)
         assert [entry.what for entry in router.rig.fleet.ledger] == ["read"]
         await router.settled()
 
 
-# These places are waits: with a client that stays each of them ends in an attempt
+# Checks the places themselves: with a client that stays connected, each wait ends in an attempt
 
 
-async def stays_and_is_sent_on(router, place):
+async def assert_forwarded_while_connected(router, place):
     client, end = await place(router)
     before = router.attempts()
-    await turns()
+    await run_loop()
     assert router.attempts() == before
     end()
     await router.until(lambda: router.attempts() > before)
@@ -518,18 +526,20 @@
 @pytest.mark.parametrize("place", [place for place in PLATFORM_PLACES if place is not half_a_request])
 def test_on_the_platform_a_client_that_stays_at_each_place_is_sent_on(place):
     @story
-    async def told():
-        async with Platform(settings=PROBING if place is probes else PLAIN) as router:
-            await stays_and_is_sent_on(router, place)
+    async def run_test():
+        async with Platform(
+            settings=SETTINGS_WITH_SLOW_PROBES if place is probes else SETTINGS_WITHOUT_PROBES
+        ) as router:
+            await assert_forwarded_while_connected(router, place)
 
-    told()
+    run_test()
 
 
 @pytest.mark.parametrize("place", [place for place in OPENAI_PLACES + BEHIND_ANOTHER if place is not half_a_body])
 def test_on_the_openai_front_a_client_that_stays_at_each_place_is_sent_on(place):
     @story
-    async def told():
+    async def run_test():
         async with OpenAI() as router:
-            await stays_and_is_sent_on(router, place)
+            await assert_forwarded_while_connected(router, place)
 
-    told()
+    run_test()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped while the router runs: ages of workers and all spans stay those of the monotonic clock."""
+"""Steps of the wall clock while the router runs: ages of workers and all durations follow the monotonic clock."""
 
 from platform_rig import SETTINGS, Quiet
 from test_platform_list import list_entry
@@ -19,7 +19,7 @@
 
 
 def age_s(endpoints, born_ms, wall_ms):
-    """What it takes the age of a worker to be that is told 5 s after the first update."""
+    """The router's age of a worker that is listed 5 s after the first update."""
     now = 105 * S
     update = platform.EndpointUpdate(2, False, [list_entry("new", born_ms=born_ms)])
     ((endpoint, _),) = endpoints.update(update, now, wall_ms)
@@ -29,7 +29,7 @@
 def test_a_worker_that_starts_after_a_step_of_the_wall_clock_is_never_taken_to_be_older_than_it_is():
     true_ms = START_MS + 5_000
     for step_ms in (HOUR_MS, -HOUR_MS, 7_000, -7_000):
-        for stepped_elsewhere_ms in (0, step_ms):  # this machine's clock alone, or that of all machines
+        for stepped_elsewhere_ms in (0, step_ms):  # only this machine's clock, or the clocks of all machines
             age = age_s(endpoint_list(), true_ms - 1_000 + stepped_elsewhere_ms, true_ms + step_ms)
             assert 0 <= age <= 1.0, (step_ms, stepped_elsewhere_ms, age)
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Stories of the recorder of module events and its replay."""
+"""Tests of the recorder of decision module events and of replays."""
 
 import gc
 
@@ -12,7 +12,7 @@
 
 
 def play(make):
-    """A small day: reads, writes, a death, a drain, places, one that leaves. What the module asked for."""
+    """Plays prefills, decodes, a lost worker, a drain, reservations and a client that leaves; returns the actions."""
     host = FakeHost(fleet(), places=True, probes=True)
     host.asked.clear()
     recorder = host.router = make(
@@ -104,6 +104,6 @@
         return kept[0]
 
     assert play(make) == play(Router)
-    kept[0].recording_host.host = None  # the tiny host keeps all that it was asked
+    kept[0].recording_host.host = None  # FakeHost keeps references to all arguments
     gc.collect()
     assert len(kept[0].objects.views.numbers) < 10
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Stories of the HTTP front on loopback sockets: the API as its public clients use it, and bad input."""
+"""Tests of the HTTP front on loopback sockets: the API as public clients use it, and invalid input."""
 
 import asyncio
 import base64
@@ -25,9 +25,9 @@
 async def test_a_whole_chat_answer_is_gathered_from_the_stream():
     async with Rig() as rig:
         reply = await rig.chat(most=4, stream=False)
-        told = reply.json()
-        assert told["object"] == "chat.completion" and told["choices"][0]["message"]["content"] == "w0 w1 w2 w3 "
-        assert told["usage"]["completion_tokens"] == 4 and told["choices"][0]["finish_reason"] == "stop"
+        answer = reply.json()
+        assert answer["object"] == "chat.completion" and answer["choices"][0]["message"]["content"] == "w0 w1 w2 w3 "
+        assert answer["usage"]["completion_tokens"] == 4 and answer["choices"][0]["finish_reason"] == "stop"
 
 
 @story
@@ -38,7 +38,7 @@
         await rig.settled()
         assert (
             await rig.chat(most=500, headers={"x-request-timeout": "0.3"})
-        ).done  # a stream's time ends as it begins
+        ).done  # the deadline of a stream applies to its start
 
 
 @story
@@ -161,8 +161,8 @@
         assert (await rig.chat()).status == 401
         key = {"authorization": "Bearer sk-1"}
         assert (await rig.chat(headers=key)).status == 200
-        for told in ("soon", "-1", "nan", "inf"):
-            assert (await rig.chat(headers=key | {"x-request-timeout": told})).status == 400
+        for value in ("soon", "-1", "nan", "inf"):
+            assert (await rig.chat(headers=key | {"x-request-timeout": value})).status == 400
         assert (await rig.chat(headers=key | {"x-use-case": "none"})).status == 400
         assert (await rig.chat(headers=key | {"content-type": "text/plain"})).status == 415
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log of a router on the platform: whoever reads it, or does not, holds no request up."""
+"""The log of a router on the platform never blocks requests, even if its output is not read: lines are dropped."""
 
 import asyncio
 import os
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Played time for fleets of real modules, and the settings of their workers that warm up."""
+"""Virtual time for simulated fleets of real decision modules, and the settings of their slow start."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -18,7 +18,7 @@
 
 
 class VirtualTime:
-    """Calls in the order of their times; those of one time in the order in which they were asked for."""
+    """Runs scheduled calls by due time; calls due at the same time in the order they were scheduled."""
 
     def __init__(self):
         self.now, self.calls, self.order = 0, [], count()
