--- a/ramppulley/fronts/http/bodies.py
+++ b/ramppulley/fronts/http/bodies.py
@@ -96,11 +96,11 @@
         if body.encoding_format not in (None, "float", "base64"):
             raise BodyError("encoding_format must be float or base64", "encoding_format")
     if kind in (EMBEDDINGS, COMPLETION):
-        given = body.input if kind == EMBEDDINGS else body.prompt
-        if isinstance(given, list):
+        inputs = body.input if kind == EMBEDDINGS else body.prompt
+        if isinstance(inputs, list):
             name = "input" if kind == EMBEDDINGS else "prompt"
-            _check_items(name, given)
-            if len({type(x) for x in given}) > 1:
+            _check_items(name, inputs)
+            if len({type(x) for x in inputs}) > 1:
                 raise BodyError(f"{name} must hold texts, tokens or token lists, not a mix", name)
 
 
--- a/ramppulley/service/audit.py
+++ b/ramppulley/service/audit.py
@@ -39,7 +39,7 @@
 
     at: int
     request: str
-    what: str
+    event_name: str
     detail: object
 
 
@@ -52,9 +52,9 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self.violations: Counter[Violation] = Counter()
 
-    def record(self, request: str, what: str, detail: object = "") -> None:
+    def record(self, request: str, event_name: str, detail: object = "") -> None:
         """Adds an event of a request to the ring. `detail` is formatted only when a violation is logged."""
-        self.ring.append(Event(self.clock.now(), request, what, detail))
+        self.ring.append(Event(self.clock.now(), request, event_name, detail))
 
     def count(self, action: Action, reason: str, request: str = "") -> None:
         """Counts an action under a reason; with a request, it also enters the ring."""
@@ -76,7 +76,9 @@
         """The ring's events of a request as text; times are milliseconds relative to now."""
         now = self.clock.now()
         events = [event for event in self.ring if event.request == request][-MAX_SHOWN_EVENTS:]
-        return "; ".join(f"-{(now - at) // 10} ms {what} {detail}".rstrip() for at, _, what, detail in events)
+        return "; ".join(
+            f"-{(now - at) // 10} ms {event_name} {detail}".rstrip() for at, _, event_name, detail in events
+        )
 
     def sizes(self) -> dict[str, object]:
         """Fields of the periodic log line: the total of violations, and the counters by reason."""
--- a/ramppulley/service/clock.py
+++ b/ramppulley/service/clock.py
@@ -41,7 +41,7 @@
 
 
 class LoopClock:
-    """The machine's monotonic clock. uvloop's own time has whole milliseconds and stands still within a loop iteration."""
+    """The machine's monotonic clock. uvloop's time has whole milliseconds and does not advance within an iteration."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -108,7 +108,7 @@
 
     # Called by an engine connector
     def first_token(self, attempt):
-        """The response has started: it goes to this client, and no other attempt may replace it. Returns whether it may."""
+        """The response has started and is passed on, whatever its end. Returns whether the request still takes it."""
         tracked = attempt.tracked
         if attempt.ended or tracked.final_answer is not None:
             return False
--- a/ramppulley/service/naming.py
+++ b/ramppulley/service/naming.py
@@ -93,14 +93,14 @@
     if kind == RERANK:
         documents = [d if isinstance(d, str) else d.get("text", "") for d in body["documents"]]
         return len(documents) * len(body["query"].encode()) + sum(len(d.encode()) for d in documents), 0
-    given = body["prompt" if kind == COMPLETION else "input"]
-    if isinstance(given, str):
-        return len(given.encode()), 0
-    if given and isinstance(given[0], int):
-        return 0, len(given)
+    prompt = body["prompt" if kind == COMPLETION else "input"]
+    if isinstance(prompt, str):
+        return len(prompt.encode()), 0
+    if prompt and isinstance(prompt[0], int):
+        return 0, len(prompt)
     return (
-        sum(len(x.encode()) for x in given if isinstance(x, str)),
-        sum(len(x) for x in given if not isinstance(x, str)),
+        sum(len(x.encode()) for x in prompt if isinstance(x, str)),
+        sum(len(x) for x in prompt if not isinstance(x, str)),
     )
 
 
--- a/ramppulley/service/permission.py
+++ b/ramppulley/service/permission.py
@@ -13,19 +13,19 @@
 
     CLIENT_GONE = "client gone"
     WORKER_CHANGED = "the list told otherwise of the worker"
-    TIME_OVER = "the time ran out before the first byte"
+    TIMED_OUT = "the time ran out before the first byte"
     WINDOW_OVER = "workers may not know it for a repeat any more"
     ALREADY_ANSWERED = "answered already"
-    PEER_SPOKE = "its peer closed, or sent what is no answer"
+    PEER_SENT_OR_CLOSED = "its peer closed, or sent what is no answer"
     LAST_BYTE_WRITTEN = "the request may have begun"
     OUT_OF_TURN = "one request at a time"
     ID_USED = "this one was used already"
     ROUTER_STOPS = "the router stops"
     ROUTER_FULL = "the router holds as many requests as it may"
     BYTES_UNREAD = "bytes wait unread"
-    PREFILL_OUT = "a prefill is out"
+    PREFILL_OPEN = "a prefill is out"
     RELEASE_RUNNING = "a release is under way"
-    NOTHING_OWED = "no release is owed"
+    NO_RELEASE_PENDING = "no release is owed"
 
 
 class AttemptFacts(NamedTuple):
@@ -53,7 +53,7 @@
         return Refusal.WORKER_CHANGED
     if facts.window_over:
         return Refusal.WINDOW_OVER
-    return Refusal.TIME_OVER if facts.remaining <= 0 else None
+    return Refusal.TIMED_OUT if facts.remaining <= 0 else None
 
 
 class WriteFacts(NamedTuple):
@@ -69,9 +69,9 @@
     written if the peer has closed or sent anything before.
 
     >>> may_write_last_byte(WriteFacts(True, False, False)), may_write_last_byte(WriteFacts(False, False, False))
-    (<Refusal.PEER_SPOKE: 'its peer closed, or sent what is no answer'>, None)
+    (<Refusal.PEER_SENT_OR_CLOSED: 'its peer closed, or sent what is no answer'>, None)
     """
-    return Refusal.PEER_SPOKE if facts.was_idle and not facts.quiet else None
+    return Refusal.PEER_SENT_OR_CLOSED if facts.was_idle and not facts.quiet else None
 
 
 def may_repeat_write(facts: WriteFacts) -> Refusal | None:
@@ -121,7 +121,7 @@
 class ReleaseFacts(NamedTuple):
     """State of a request's KV state and of its release. An open decode keeps the state that it waits for."""
 
-    owed: bool
+    pending: bool
     running: bool
     prefill_written: bool  # it may have created KV state that has not been reported yet
 
@@ -130,10 +130,10 @@
     """Rule 5: whether to release KV state. A release must come after the prefill, to include the state that it creates.
 
     >>> may_release(ReleaseFacts(True, False, False)), may_release(ReleaseFacts(True, False, True))
-    (None, <Refusal.PREFILL_OUT: 'a prefill is out'>)
+    (None, <Refusal.PREFILL_OPEN: 'a prefill is out'>)
     """
-    if not facts.owed:
-        return Refusal.NOTHING_OWED
+    if not facts.pending:
+        return Refusal.NO_RELEASE_PENDING
     if facts.running:
         return Refusal.RELEASE_RUNNING
-    return Refusal.PREFILL_OUT if facts.prefill_written else None
+    return Refusal.PREFILL_OPEN if facts.prefill_written else None
--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -105,11 +105,11 @@
 
 
 async def no_room_for_its_connection(router):
-    connection_limit, free_capacity = router.listener.max_connections, router.listener.free_capacity
+    old_limit, make_room = router.listener.max_connections, router.listener.free_capacity
     router.listener.max_connections, router.listener.free_capacity = 0, lambda: True
 
     def end():
-        router.listener.max_connections, router.listener.free_capacity = connection_limit, free_capacity
+        router.listener.max_connections, router.listener.free_capacity = old_limit, make_room
 
     client = router.send_request()
     await router.until(lambda: router.listener._task_ended is not None)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -80,9 +80,9 @@
     return SimpleNamespace(core=core, fake=fake, clock=clock)
 
 
-def submit(rig, kind=CHAT, **more):
+def submit(rig, kind=CHAT, **options):
     request = InferenceRequest(
-        "q.r0-0", kind, "m", "c", {}, 6 * S, 100, prompt_bytes=400, max_out=50, session="s", **more
+        "q.r0-0", kind, "m", "c", {}, 6 * S, 100, prompt_bytes=400, max_out=50, session="s", **options
     )
     return rig.core.submit(request, rig.fake)
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -38,7 +38,10 @@
                 continue
             if sends[-1][2].role == "read":
                 host.ends(
-                    view, door.CUT if number == 30 else door.READ, kept=100, report=door.LoadReport(memory_share=0.4)
+                    view,
+                    door.CUT if number == 30 else door.READ,
+                    kept=100,
+                    report=door.LoadReport(memory_share=0.4),
                 )
             else:
                 host.first(view)
@@ -56,20 +59,24 @@
 
 @pytest.fixture
 def record(tmp_path):
-    kept = []
+    recorders = []
 
-    def make(host, **more):
-        kept.append(events.Recorder(Router, tmp_path / "day.rec", host, **more))
-        return kept[0]
+    def make(host, **options):
+        recorders.append(events.Recorder(Router, tmp_path / "day.rec", host, **options))
+        return recorders[0]
 
     play(make)
-    kept[0].close()
+    recorders[0].close()
     return tmp_path / "day.rec"
 
 
 def test_a_record_replays_through_the_same_text_to_the_same_actions(record):
-    told = replay.replay(record, Router)
-    assert told["arrived"][0] == 60 and told["outcome"][0] > 60 and set(told) > {"listed", "reminded", "probed", "left"}
+    counts = replay.replay(record, Router)
+    assert (
+        counts["arrived"][0] == 60
+        and counts["outcome"][0] > 60
+        and set(counts) > {"listed", "reminded", "probed", "left"}
+    )
 
 
 def test_a_text_that_decides_otherwise_is_found_at_its_first_step(record):
@@ -97,13 +104,13 @@
 
 
 def test_recording_changes_no_action_and_keeps_nothing_that_the_module_forgot(tmp_path):
-    kept = []
+    recorders = []
 
-    def make(host, **more):
-        kept.append(events.Recorder(Router, tmp_path / "day.rec", host, **more))
-        return kept[0]
+    def make(host, **options):
+        recorders.append(events.Recorder(Router, tmp_path / "day.rec", host, **options))
+        return recorders[0]
 
     assert play(make) == play(Router)
-    kept[0].recording_host.host = None  # FakeHost keeps references to all arguments
+    recorders[0].recording_host.host = None  # FakeHost keeps references to all arguments
     gc.collect()
-    assert len(kept[0].objects.views.numbers) < 10
+    assert len(recorders[0].objects.views.numbers) < 10
