--- a/ramppulley/service/permission.py
+++ b/ramppulley/service/permission.py
@@ -127,7 +127,7 @@
 
 
 def may_release(facts: ReleaseFacts) -> Refusal | None:
-    """Rule 5: whether to release KV state. A release must come after the prefill, to include the state that it creates.
+    """Rule 5: whether to release KV state that no attempt waits for. It waits for an open prefill, to include its state.
 
     >>> may_release(ReleaseFacts(True, False, False)), may_release(ReleaseFacts(True, False, True))
     (None, <Refusal.PREFILL_OPEN: 'a prefill is out'>)
--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -21,7 +21,7 @@
 
 DECLINED = http.answer(503, {"Srv-Declined": "1"})
 SETTINGS_WITHOUT_PROBES = SETTINGS | {"Bounds": SETTINGS["Bounds"] | {"Probing": False, "ConnectTimeoutS": 2.0}}
-# probes time out after 0.02 of the latency target, which is set so high that a busy machine does not reach it
+# a request waits for probes for 0.02 of its latency target: here longer than a loop iteration of a busy machine
 SETTINGS_WITH_SLOW_PROBES = SETTINGS | {
     "Bounds": SETTINGS["Bounds"] | {"ConnectTimeoutS": 2.0},
     "Lanes": [lane | {"AimS": 60.0, "GiveUpS": 120.0} for lane in SETTINGS["Lanes"]],
