--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -172,7 +172,7 @@
         await world.until(lambda: len(world.node.front.idle_connections) == len(clients))
         await clients[0].send(question("q-1"))
         front = world.node.front
-        assert all(front._make_room() for _ in clients[1:]) and not front._make_room()
+        assert all(front._evict_connection() for _ in clients[1:]) and not front._evict_connection()
         assert (await answer(clients[0]))[0] == 200
         assert await clients[1].receive() == await clients[-1].receive() == b""
         for transport in clients:
