--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -130,7 +130,7 @@
         "open_attempts",
         "prefix_cache",
         "open_uncached_tokens",
-        "open_memory_tokens",
+        "memory",
         "load_estimate",
         "load_estimate_until",
         "reports",
@@ -140,7 +140,7 @@
         "prefill_paces",
         "stream_slowness",
         "stream_times",
-        "rejections",
+        "refused",
         "last_heard_at",
         "peer_report",
         "reported_at",
@@ -165,8 +165,8 @@
         self.can_decode = endpoint.role != "read"
         self.state, self.started_at, self.probing, self.missed_probes = endpoint.state, endpoint.born, False, 0
         self.open_attempts, self.prefix_cache = [], PrefixCache(endpoint.memory)
-        self.open_uncached_tokens = 0
-        self.open_memory_tokens = 0
+        self.open_uncached_tokens = 0  # prompt tokens of the open attempts without a cached prefix
+        self.memory = 0  # tokens that the open attempts take
         self.load_estimate = None  # result of `memory_load`, valid until the next change
         self.load_estimate_until = 0
         self.reports, self.attempt_starts = deque(maxlen=3), deque(maxlen=4 * SAMPLE_COUNT)
@@ -182,7 +182,7 @@
             Samples(span, SAMPLE_COUNT)
             for span in (SAMPLE_MAX_AGE, SAMPLE_MAX_AGE // 3, SAMPLE_MAX_AGE, SAMPLE_MAX_AGE, SAMPLE_MAX_AGE)
         )
-        self.rejections = deque(maxlen=SAMPLE_COUNT)  # time, request class and tenant of each
+        self.refused = deque(maxlen=SAMPLE_COUNT)  # time, request class and tenant of each
         self.last_heard_at = self.now
         self.reported_at = 0
         self.warming_next_at = 0
@@ -227,12 +227,12 @@
             reported_load, capacity = self.memory_load(), self.endpoint.memory or 1
             load = (
                 (average.load if reported_load is None else reported_load)
-                + self.open_memory_tokens * self.router.router_scale / capacity
+                + self.memory * self.router.router_scale / capacity
             ) / 2
             if peer_report:  # deviation from the published pair mechanism: peers report what their open attempts take
                 load = blended(
                     load,
-                    (self.open_memory_tokens + peer_report.memory) / capacity,
+                    (self.memory + peer_report.memory) / capacity,
                     peer_report.known,
                     PEER_LOAD_SHIFT_MAX,
                 )
@@ -274,7 +274,7 @@
                 [r for r in self.reports if now - r[0] < SAMPLE_MAX_AGE],
             )
             loads = [
-                r.memory_share + (self.open_memory_tokens - ours) * self.router.router_scale / capacity
+                r.memory_share + (self.memory - ours) * self.router.router_scale / capacity
                 for at, r, _, ours in recent
                 if r.memory_share is not None
             ]
@@ -295,13 +295,13 @@
     def rejection_likelihood(self, request):
         """0 to 1: how likely it rejects the request for lack of capacity, by recent rejections of its tenant and class."""
         now, request_class, tenant, likelihood = self.router.clock, request.view.use_case, request.tenant, -1e9
-        for at, rejected_class, rejected_tenant in reversed(self.rejections):
+        for at, rejected_class, rejected_tenant in reversed(self.refused):
             matches = (rejected_class is request_class) + (rejected_tenant is tenant)
             faded = matches / 2 * (1 - (now - at) / REJECTION_MAX_AGE)
             likelihood = max(likelihood, faded)
             if matches == 2 and faded >= 0:  # older rejections cannot give more
                 break
-        return likelihood if self.rejections else 0.0
+        return likelihood if self.refused else 0.0
 
     def silence(self):
         """Time without any response while an attempt waits for one."""
@@ -373,7 +373,7 @@
         if state != self.state:
             self.router.host.log(f"worker {self.name} {self.state} -> {state}, {len(self.open_attempts)} out")
         if started_at != self.started_at or (self.state == "gone" and state == "ready"):
-            for known in (self.prefix_cache, self.reports, self.rejections):
+            for known in (self.prefix_cache, self.reports, self.refused):
                 known.clear()
             self.suspect, self.consecutive_failures, self.started_at = "", 0, started_at
             if self.warming_up():  # all routers learn of it at once: a random offset spreads their first attempts
@@ -398,9 +398,9 @@
             self.half_open_at = self.now + HALF_OPEN_DELAY_MAX
 
     def add_open_tokens(self, attempt, sign):
-        self.open_uncached_tokens, self.open_memory_tokens = (
+        self.open_uncached_tokens, self.memory = (
             self.open_uncached_tokens + attempt.unread * sign,
-            self.open_memory_tokens + attempt.memory * sign,
+            self.memory + attempt.memory * sign,
         )
         self.load_estimate_until = 0
 
@@ -418,7 +418,7 @@
         self.add_open_tokens(attempt, -1)
         now, view, elapsed = self.now, attempt.request.view, self.now - attempt.start
         if outcome == NO_ROOM:
-            self.rejections.append((now, view.use_case, attempt.request.tenant))
+            self.refused.append((now, view.use_case, attempt.request.tenant))
         if outcome == DONE and attempt.first_token_at is not None:
             self.stream_times.add(now, now - attempt.first_token_at)
             # Without a promised pace, or an expected length, the stream counts as on time.
@@ -453,7 +453,7 @@
                     self.now,
                     report,
                     self.open_uncached_tokens * self.can_prefill,
-                    self.open_memory_tokens * self.can_decode,
+                    self.memory * self.can_decode,
                 )
             )
 
@@ -968,7 +968,7 @@
     def worker_score(self, worker, request):
         """The part of a score that is common to both roles: zone, rejections, peer reports and missed probes."""
         score = CROSS_ZONE_SCORE if worker.endpoint.zone != self.zone else 0.0
-        if worker.rejections:
+        if worker.refused:
             score += REJECTION_SCORE * worker.rejection_likelihood(request)
         if worker.peer_report is not None:
             score += PEER_FAILURE_SCORE * worker.peer_report.ill
@@ -1102,7 +1102,7 @@
         held_tokens = (reports[-1][1].held or 0) * HELD_REQUEST_TOKENS if reports else 0
         score = (elapsed + (UNCACHED_SCORE_FACTOR * uncached_tokens + held_tokens) * pace) / request.latency_target
         if (
-            worker.rejections
+            worker.refused
             or worker.probing
             or worker.missed_probes
             or (worker.peer_report or worker.endpoint.zone != self.zone)
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of real modules in played time, in which workers start anew: what a cold one is sent by all of them together.
+"""A fleet of real decision modules on a virtual clock, in which workers restart: measures the load that all routers together
+put on a worker during its slow start.
 
-Prefill workers read one after another at a stated pace, decode workers answer at once; traffic is uneven and its prompts are
-heavy-tailed. Every router hears of each start at a time of its own.
+Prefill workers run one prefill after another at a given pace, decode workers answer at once; traffic is uneven between
+routers and its prompt lengths are heavy-tailed. Each router learns of a start after a delay of its own.
 """
 
 import sys
@@ -13,23 +14,27 @@
 from ramppulley import door
 from ramppulley.rules import Router
 
-PACE, MEAN, SHARED, SPREAD = 12_500, 5500, 3500, 1.3  # tokens a second; of a prompt: tokens, least, sigma of the rest
-HEARD = 3 * S // 10, 18 * S // 10  # when a router hears of a start, after it
+TOKENS_PER_S = 12_500  # of a prefill worker at full capacity
+MEAN_PROMPT_TOKENS = 5500
+MIN_PROMPT_TOKENS = 3500
+PROMPT_SIGMA = 1.3  # of the lognormal length beyond the minimum
+DISCOVERY_DELAY = 3 * S // 10, 18 * S // 10  # until a router learns of a start
 
 
-class Server:
-    def __init__(self, box_role, born=None):
-        self.role, self.born, self.free, self.sent = box_role, born, 0, []
+class SimulatedWorker:
+    def __init__(self, worker_role, started_at=None):
+        # `work` has the time of each attempt and its prompt length over the mean.
+        self.role, self.started_at, self.busy_until, self.work = worker_role, started_at, 0, []
 
-    def part(self, now):
-        """Of its capacity; a straight rise while it is cold."""
-        if self.born is None:
+    def capacity_share(self, now):
+        """Its present part of its full capacity, which rises evenly while it warms up."""
+        if self.started_at is None:
             return 1.0
-        return min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (now - self.born) / LAW.cold_for)
+        return min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (now - self.started_at) / LAW.cold_for)
 
-    def allowed(self, now):
-        """N: requests of mean work in one window."""
-        return LAW.cold_multiple * self.part(now) * PACE / MEAN * LAW.cold_window / S
+    def budget(self, now):
+        """N: requests of mean length that it may be sent in one window."""
+        return LAW.cold_multiple * self.capacity_share(now) * TOKENS_PER_S / MEAN_PROMPT_TOKENS * LAW.cold_window / S
 
 
 class Host:
@@ -40,25 +45,25 @@
             seed=world.random.getrandbits(32),
             routers=routers,
             zone=0,
-            use_cases=[world.case],
+            use_cases=[world.request_class],
             accounts=[],
             permits=door.Capabilities(probes=True, longest_wait=S // 2),
             lawbook=LAW,
             now=world.now,
         )
 
-    def told(self, marks, state="ready"):
+    def list_workers(self, marks, state="ready"):
         for mark in marks:
-            server = self.world.servers[mark]
-            endpoint = door.Endpoint(mark, server.role, cell=mark % 4, zone=0, memory=440_000, born=server.born)
+            worker = self.world.workers[mark]
+            endpoint = door.Endpoint(mark, worker.role, cell=mark % 4, zone=0, memory=440_000, born=worker.started_at)
             self.endpoints.setdefault(mark, endpoint).state = state
         self.router.listed(self.world.now, [self.endpoints[mark] for mark in marks])
 
     def send(self, view, endpoint, time_out, attempt):
-        self.world.sent(self, view, endpoint, attempt)
+        self.world.start_attempt(self, view, endpoint, attempt)
 
     def probe(self, endpoint):
-        waiting = max(0, self.world.servers[endpoint.mark].free - self.world.now) / S * PACE
+        waiting = max(0, self.world.workers[endpoint.mark].busy_until - self.world.now) / S * TOKENS_PER_S
         self.world.after(
             20,
             lambda: self.router.probed(
@@ -76,32 +81,41 @@
 
 
 class World(VirtualTime):
-    """`load`: of all workers' capacity; `cold`: the part of the workers that is replaced at `at`, all within 3 s."""
+    """`load`: share of all workers' capacity. `warming`: share of the prefill workers that is replaced at `at`, within 3 s.
+    `restarts`: number of routers that restart without their state."""
 
-    def __init__(self, seed, routers, load=1.0, cold=0.6, workers=16, at=8 * S, forgetful=0):
+    def __init__(self, seed, routers, load=1.0, warming=0.6, workers=16, at=8 * S, restarts=0):
         super().__init__()
         self.random = Random(seed)
-        self.case = door.RequestClass(12_000, 840, 75_000, 650)
-        self.servers = {
-            mark: Server("read" if mark < 1000 else "write")
+        self.request_class = door.RequestClass(12_000, 840, 75_000, 650)
+        self.workers = {
+            mark: SimulatedWorker("read" if mark < 1000 else "write")
             for mark in [*range(1, workers + 1), *range(1001, workers + 1001)]
         }
-        first, self.hosts, self.starts, self.at = list(self.servers), [], [], at
+        first, self.hosts, self.starts, self.at = list(self.workers), [], [], at
         self.hosts = [Host(self, routers) for _ in range(routers)]
-        weights = [self.random.expovariate(1) ** 2 + 0.05 for _ in self.hosts]  # some have several times the mean
+        # Some routers get several times the mean traffic.
+        weights = [self.random.expovariate(1) ** 2 + 0.05 for _ in self.hosts]
         for i, weight in enumerate(weights):
-            self.hosts[i].told(first)
-            self.arrivals(i, load * workers * PACE / MEAN * weight / sum(weights))
-        for mark in self.random.sample(first[:workers], int(cold * workers)):
+            self.hosts[i].list_workers(first)
+            self.arrivals(i, load * workers * TOKENS_PER_S / MEAN_PROMPT_TOKENS * weight / sum(weights))
+        for mark in self.random.sample(first[:workers], int(warming * workers)):
             self.after(at + self.random.randrange(3 * S), lambda mark=mark: self.replace(mark))
-        for i in range(forgetful):
+        for i in range(restarts):
             self.after(at + self.random.randrange(4 * S), lambda i=i: self.restart(i))
 
     def arrivals(self, i, rate):
         def arrive():
-            rest = self.random.lognormvariate(log(MEAN - SHARED) - SPREAD**2 / 2, SPREAD)
+            rest = self.random.lognormvariate(
+                log(MEAN_PROMPT_TOKENS - MIN_PROMPT_TOKENS) - PROMPT_SIGMA**2 / 2, PROMPT_SIGMA
+            )
             view = door.RequestView(
-                self.case, min(SHARED + int(rest), 61_000), 300, 6 * S, f"s{next(self.order)}", likely_out=60
+                self.request_class,
+                min(MIN_PROMPT_TOKENS + int(rest), 61_000),
+                300,
+                6 * S,
+                f"s{next(self.order)}",
+                likely_out=60,
             )
             self.hosts[i].router.arrived(self.now, view)
             self.after(self.random.expovariate(rate) * S, arrive)
@@ -110,76 +124,78 @@
 
     def replace(self, mark):
         new = mark + 100
-        self.servers[new] = Server(self.servers[mark].role, self.now)
+        self.workers[new] = SimulatedWorker(self.workers[mark].role, self.now)
         self.starts.append(new)
         for i in range(len(self.hosts)):
             self.after(
-                self.random.randrange(*HEARD),
-                lambda i=i: (self.hosts[i].told([mark], "gone"), self.hosts[i].told([new])),
+                self.random.randrange(*DISCOVERY_DELAY),
+                lambda i=i: (self.hosts[i].list_workers([mark], "gone"), self.hosts[i].list_workers([new])),
             )
 
     def restart(self, i):
-        """That router starts over with its list: what comes for the old one is nothing to the new one."""
+        """Replaces a router by a new one with the same list of workers; later events of the old one do not reach it."""
         known, self.hosts[i] = self.hosts[i].endpoints, Host(self, len(self.hosts))
         for mark, endpoint in known.items():
-            self.hosts[i].told([mark], endpoint.state)
+            self.hosts[i].list_workers([mark], endpoint.state)
 
-    def sent(self, host, view, endpoint, attempt):
-        server = self.servers[endpoint.mark]
-        server.sent.append((self.now, view.prompt / MEAN))
+    def start_attempt(self, host, view, endpoint, attempt):
+        worker = self.workers[endpoint.mark]
+        worker.work.append((self.now, view.prompt / MEAN_PROMPT_TOKENS))
 
-        def ends(outcome, closed):
+        def end(outcome, closed):
             if attempt in attempt.request.open_attempts:
                 host.router.outcome(self.now, view, attempt, outcome, closed or attempt.request.closed, 0, None)
 
-        if server.role == "read":
-            server.free = max(server.free, self.now) + int(view.prompt / (PACE * server.part(self.now)) * S)
-            self.after(server.free - self.now, lambda: ends(door.READ, False))
+        if worker.role == "read":
+            worker.busy_until = max(worker.busy_until, self.now) + int(
+                view.prompt / (TOKENS_PER_S * worker.capacity_share(self.now)) * S
+            )
+            self.after(worker.busy_until - self.now, lambda: end(door.READ, False))
         else:
 
-            def begins():
+            def begin():
                 if attempt in attempt.request.open_attempts and not attempt.request.closed:
                     host.router.first_token(self.now, view, attempt)
-                    self.after(4000, lambda: ends(door.DONE, True))
+                    self.after(4000, lambda: end(door.DONE, True))
                 else:
-                    ends(door.UNDONE, False)
+                    end(door.UNDONE, False)
 
-            self.after(500, begins)
+            self.after(500, begin)
 
-    def worst(self, mark):
-        """The most work that it was sent in one window while it was cold, over N + 2 x root of N + 2."""
-        server, work, first, most = self.servers[mark], 0.0, 0, 0.0
-        for at, more in server.sent:
-            if at > server.born + LAW.cold_for:
+    def worst_excess(self, mark):
+        """The most work that it got in one window while it warmed up, over the bound N + 2 * sqrt(N) + 2."""
+        worker, work, first, most = self.workers[mark], 0.0, 0, 0.0
+        for at, more in worker.work:
+            if at > worker.started_at + LAW.cold_for:
                 break
             work += more
-            while server.sent[first][0] <= at - LAW.cold_window:
-                work -= server.sent[first][1]
+            while worker.work[first][0] <= at - LAW.cold_window:
+                work -= worker.work[first][1]
                 first += 1
-            allowed = server.allowed(max(server.born, server.sent[first][0]))
+            allowed = worker.budget(max(worker.started_at, worker.work[first][0]))
             most = max(most, work / (allowed + 2 * sqrt(allowed) + 2))
         return most
 
-    def used(self):
-        """The part of what the settings allow all cold ones, over N, that they were sent in their first 5 s."""
-        did = may = 0.0
-        for server in map(self.servers.get, self.starts):
-            did += sum(work for at, work in server.sent if at <= server.born + 5 * S)
-            may += sum(server.allowed(server.born + t) for t in range(0, 5 * S, LAW.cold_window // 10)) / 10
-        return did / may
+    def budget_used(self):
+        """Work that all restarted workers got in their first 5 s, as a share of what the settings allow, N a window."""
+        used = allowed = 0.0
+        for worker in map(self.workers.get, self.starts):
+            used += sum(work for at, work in worker.work if at <= worker.started_at + 5 * S)
+            allowed += sum(worker.budget(worker.started_at + t) for t in range(0, 5 * S, LAW.cold_window // 10)) / 10
+        return used / allowed
 
 
 def main(seeds):
-    """The table of docs/design.md, on the text that is imported."""
-    for routers, forgetful in ((2, 0), (20, 0), (30, 0), (200, 0), (30, 20)):
-        worst, used = [], []
-        for seed in range(1, (seeds // 2 if routers > 30 or forgetful else seeds) + 1):
-            world = World(seed, routers, forgetful=forgetful).run(20 * S)
-            worst += map(world.worst, world.starts)
-            used.append(world.used())
+    """Prints the figures for the table of docs/design.md, with the decision module that is imported."""
+    for routers, restarts in ((2, 0), (20, 0), (30, 0), (200, 0), (30, 20)):
+        excesses, shares = [], []
+        for seed in range(1, (seeds // 2 if routers > 30 or restarts else seeds) + 1):
+            world = World(seed, routers, restarts=restarts).run(20 * S)
+            excesses += map(world.worst_excess, world.starts)
+            shares.append(world.budget_used())
         print(
-            f"{routers} routers, {forgetful} forget: {len(worst)} starts, {sum(w > 1 for w in worst)} over the bound, "
-            f"worst {max(worst):.2f}, used {min(used):.2f} to {max(used):.2f}",
+            f"{routers} routers, {restarts} forget: {len(excesses)} starts, {sum(e > 1 for e in excesses)} over the bound, "
+            f"worst {max(excesses):.2f}, used {min(shares):.2f} to {max(shares):.2f}",
             flush=True,
         )
 
--- a/tests/fairness_fleet.py
+++ b/tests/fairness_fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of real routers on a virtual clock, to see whom they refuse: requests with the longest prompts, or whole sessions.
+"""A fleet of real routers on a virtual clock, to measure which requests they reject: those with the longest prompts, or all
+turns of the same sessions.
 
-Prefill workers take one prompt after another, keep the sessions' text, and may start anew (warming up) or misbehave. Decode
-workers answer soon. A client that is refused tries again, up to twice, at any router, within its own deadline.
+Prefill workers run one prefill after another, cache the sessions' prefixes, and may restart (warming up) or have a fault.
+Decode workers answer soon. A client that is rejected retries, up to twice, at any router, within its own deadline.
 """
 
 import sys
@@ -18,20 +19,20 @@
 from ramppulley.rules import Router
 
 MS = S // 1000
-TOKENS_PER_S = 12_500  # of a warm prefill worker
+TOKENS_PER_S = 12_500  # of a prefill worker at full capacity
 DEADLINE = 6 * S
 WORKERS = 8  # of each role
-TURNS = (1, 2, 3, 4)  # of a session
+TURNS = (1, 2, 3, 4)  # possible numbers of turns of a session
 MAX_RETRIES = 2
-SIGMA = 1.2  # of the lognormal prompt lengths
+PROMPT_SIGMA = 1.2  # of the lognormal prompt lengths
 MEDIAN_PROMPT, LONGEST_PROMPT = 2000, 32_000
-MEAN_PROMPT = MEDIAN_PROMPT * exp(SIGMA**2 / 2)
-TRANSFER, ANSWER = 50 * MS, 400 * MS  # until the first token of decode, and from there to the end
-DISCOVERY_DELAY = 3 * S // 10, 18 * S // 10  # until a router hears of a start
+MEAN_PROMPT = MEDIAN_PROMPT * exp(PROMPT_SIGMA**2 / 2)
+TRANSFER_TIME, STREAM_TIME = 50 * MS, 400 * MS  # until the first token of a decode, and from there to its end
+DISCOVERY_DELAY = 3 * S // 10, 18 * S // 10  # until a router learns of a start
 
-#: What a misbehaving worker does.
+#: Faults of a worker.
 SLOW, FULL, FALSE_QUEUE, SILENT = "slow", "full", "false queue", "silent"
-SLOW_BY = 10
+SLOW_FACTOR = 10
 
 
 def request_class(target_ms=1200, target_per_1000_ms=0, value=1.0):
@@ -40,7 +41,7 @@
 
 @dataclass(eq=False)
 class Request:
-    """What one client wants, through all its tries."""
+    """One request of a client, through all its tries."""
 
     case: door.RequestClass
     session: str
@@ -50,39 +51,39 @@
     tenant: int = 0
     value_over_share: float = 1.0
     tries: int = 0
-    refusals: int = 0
+    rejections: int = 0
     answered: int | None = None  # when its first token came
 
     @property
-    def refused(self):
+    def unanswered(self):
         return self.answered is None
 
     @property
     def in_time(self):
-        promised = self.case.promised + self.case.promised_per_k * self.prompt // 1000
-        return not self.refused and self.answered - self.sent <= promised
+        latency_target = self.case.promised + self.case.promised_per_k * self.prompt // 1000
+        return not self.unanswered and self.answered - self.sent <= latency_target
 
 
 class PrefillWorker:
-    """One prompt after another; a session's text that it has read is kept."""
+    """Runs one prefill after another, and caches the text of sessions and prefixes."""
 
     def __init__(self, world, born=None):
         self.world, self.born, self.fault = world, born, ""
         self.queue, self.cached, self.running = deque(), {}, None
 
     def pace(self):
-        """Tokens a second now: while it warms up a straight rise."""
-        part = 1.0
+        """Tokens a second now; rises evenly while it warms up."""
+        share = 1.0
         if self.born is not None:
-            part = min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (self.world.now - self.born) / LAW.cold_for)
-        return TOKENS_PER_S * part / (SLOW_BY if self.fault == SLOW else 1)
+            share = min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (self.world.now - self.born) / LAW.cold_for)
+        return TOKENS_PER_S * share / (SLOW_FACTOR if self.fault == SLOW else 1)
 
-    def unread(self, view):
+    def uncached_tokens(self, view):
         return max(1, view.prompt - max(self.cached.get(view.session, 0), self.cached.get(view.prefix, 0)))
 
-    def take(self, attempt):
+    def accept(self, attempt):
         if self.fault == FULL:
-            self.world.after(MS, lambda: attempt.ends(door.NO_ROOM))
+            self.world.after(MS, lambda: attempt.end(door.NO_ROOM))
         elif self.fault != SILENT:
             self.queue.append(attempt)
             self.start_next()
@@ -90,17 +91,17 @@
     def start_next(self):
         if self.running is None and self.queue:
             attempt = self.running = self.queue.popleft()
-            self.world.after(self.unread(attempt.view) / self.pace() * S, lambda: self.finish(attempt))
+            self.world.after(self.uncached_tokens(attempt.view) / self.pace() * S, lambda: self.finish(attempt))
 
     def finish(self, attempt):
         if self.running is attempt:
             view = attempt.view
-            kept = view.prompt - self.unread(view)
+            cached_tokens = view.prompt - self.uncached_tokens(view)
             self.cached[view.session] = view.prompt
             if view.prefix:
                 self.cached[view.prefix] = view.prefix_tokens
             self.running = None
-            attempt.ends(door.READ, kept)
+            attempt.end(door.READ, cached_tokens)
             self.start_next()
 
     def cancel(self, attempt):
@@ -111,7 +112,7 @@
             self.start_next()
 
     def report(self):
-        waiting = sum(self.unread(attempt.view) for attempt in [*self.queue, *filter(None, [self.running])])
+        waiting = sum(self.uncached_tokens(attempt.view) for attempt in [*self.queue, *filter(None, [self.running])])
         if self.fault == FALSE_QUEUE:
             waiting += 20 * TOKENS_PER_S
         return door.LoadReport(memory_share=0.1, tokens_waiting=waiting)
@@ -121,12 +122,12 @@
     def __init__(self, world):
         self.world, self.fault = world, ""
 
-    def take(self, attempt):
+    def accept(self, attempt):
         if self.fault == FULL:
-            self.world.after(MS, lambda: attempt.ends(door.NO_ROOM))
+            self.world.after(MS, lambda: attempt.end(door.NO_ROOM))
         elif self.fault != SILENT:
-            slower = SLOW_BY if self.fault == SLOW else 1
-            self.world.after(TRANSFER * slower, lambda: attempt.first_token(ANSWER * slower))
+            slower = SLOW_FACTOR if self.fault == SLOW else 1
+            self.world.after(TRANSFER_TIME * slower, lambda: attempt.first_token(STREAM_TIME * slower))
 
     def cancel(self, attempt):
         pass
@@ -136,34 +137,36 @@
 
 
 class Attempt:
-    """One send of the module's, at one worker, until it has its outcome."""
+    """One attempt of the decision module at one worker, until it has its outcome."""
 
-    def __init__(self, host, view, endpoint, send, time_out):
-        self.host, self.view, self.send, self.over = host, view, send, False
+    def __init__(self, host, view, endpoint, policy_attempt, time_out):
+        self.host, self.view, self.policy_attempt, self.ended = host, view, policy_attempt, False
         self.worker = host.world.workers[endpoint.mark]
-        self.worker.take(self)
-        host.world.after(time_out, lambda: self.stops(door.TOO_SLOW))
+        self.worker.accept(self)
+        host.world.after(time_out, lambda: self.stop(door.TOO_SLOW))
 
-    def stops(self, outcome):
-        if not self.over:
+    def stop(self, outcome):
+        if not self.ended:
             self.worker.cancel(self)
-            self.ends(outcome)
+            self.end(outcome)
 
-    def first_token(self, rest):
-        if not self.over:
-            self.host.answers(self.view, self.send)
-            self.host.world.after(rest, lambda: self.ends(door.DONE))
+    def first_token(self, stream_time):
+        if not self.ended:
+            self.host.respond(self.view, self.policy_attempt)
+            self.host.world.after(stream_time, lambda: self.end(door.DONE))
 
-    def ends(self, outcome, kept=0):
-        if not self.over:
-            self.over = True
-            closed = outcome == door.DONE or self.send.request.closed
+    def end(self, outcome, cached_tokens=0):
+        if not self.ended:
+            self.ended = True
+            closed = outcome == door.DONE or self.policy_attempt.request.closed
             report = self.worker.report() if not self.host.world.probes and outcome != door.TOO_SLOW else None
-            self.host.router.outcome(self.host.world.now, self.view, self.send, outcome, closed, kept, report)
+            self.host.router.outcome(
+                self.host.world.now, self.view, self.policy_attempt, outcome, closed, cached_tokens, report
+            )
 
 
 class Host:
-    """One router and what it acts on."""
+    """One router, and the host that carries out its decisions."""
 
     def __init__(self, world, seed, routers, cases, tenants):
         self.world, self.endpoints, self.attempts, self.requests = world, {}, {}, {}
@@ -178,7 +181,7 @@
             lawbook=LAW,
         )
 
-    def told(self, marks, state="ready"):
+    def list_workers(self, marks, state="ready"):
         for mark in marks:
             worker = self.world.workers[mark]
             if mark not in self.endpoints:
@@ -189,8 +192,8 @@
             self.endpoints[mark].state = state
         self.router.listed(self.world.now, [self.endpoints[mark] for mark in marks])
 
-    def arrives(self, request):
-        """Another try of this request."""
+    def submit(self, request):
+        """Brings another try of this request to the router."""
         deadline = request.sent + DEADLINE - self.world.now
         view = door.RequestView(
             request.case,
@@ -207,21 +210,21 @@
         self.requests[view] = request
         self.router.arrived(self.world.now, view)
 
-    def answers(self, view, send):
-        if send.request.closed:
+    def respond(self, view, policy_attempt):
+        if policy_attempt.request.closed:
             return
-        self.router.first_token(self.world.now, view, send)
+        self.router.first_token(self.world.now, view, policy_attempt)
         self.requests[view].answered = self.world.now
 
-    # What the module asks for.
-    def send(self, view, endpoint, time_out, send):
-        self.attempts[send] = Attempt(self, view, endpoint, send, time_out)
+    # The interface `door.Host`.
+    def send(self, view, endpoint, time_out, policy_attempt):
+        self.attempts[policy_attempt] = Attempt(self, view, endpoint, policy_attempt, time_out)
 
-    def withdraw(self, view, send):
-        self.world.after(MS, lambda: self.attempts[send].stops(door.UNDONE))
+    def withdraw(self, view, policy_attempt):
+        self.world.after(MS, lambda: self.attempts[policy_attempt].stop(door.UNDONE))
 
-    def turn_back(self, view, come_back):
-        self.world.refused(self.requests[view], come_back)
+    def turn_back(self, view, retry_after):
+        self.world.reject(self.requests[view], retry_after)
 
     def probe(self, endpoint):
         worker = self.world.workers[endpoint.mark]
@@ -246,11 +249,11 @@
 
 @dataclass
 class Traffic:
-    """Sessions of one class and tenant; `load` is a part of what all prefill workers can read when warm."""
+    """Sessions of one class and tenant; `load` is the share of the capacity of all prefill workers when warmed up."""
 
     case: door.RequestClass
     load: float
-    turns: tuple = (1,)  # how many a session may have; each turn's prompt begins with what was there before
+    turns: tuple = (1,)  # possible numbers of turns of a session; each turn's prompt begins with the one before
     prefix: str = ""
     tenant: int = 0
     value_over_share: float = 1.0
@@ -266,7 +269,7 @@
 
 
 def two_tenants(load, *target):
-    """The first sends several times its share, and what is over is worth little; see `tenants_of`."""
+    """The first tenant sends several times its share, and requests beyond the share have little value; see `tenants_of`."""
     case = request_class(*target or (600,))
     return [Traffic(case, load / 2, TURNS, tenant=n, value_over_share=0.2) for n in (0, 1)]
 
@@ -281,7 +284,7 @@
 
 
 class World(VirtualTime):
-    """Routers, workers and clients; `cold` is the part of the prefill workers that is replaced at `at`, all within 3 s."""
+    """Routers, workers and clients; `warming` is the share of the prefill workers that is replaced at `at`, within 3 s."""
 
     def __init__(
         self,
@@ -290,7 +293,7 @@
         routers=4,
         workers=WORKERS,
         groups=2,
-        cold=0.0,
+        warming=0.0,
         at=6 * S,
         tenants=(),
         prefix_tokens=0,
@@ -299,74 +302,77 @@
         self.probes = probes
         super().__init__()
         self.random = Random(seed)
-        self.sessions_begun = count()
-        self.demand = Random(f"demand {seed}")  # of the clients alone: the same requests come whatever the routers do
+        self.sessions_started = count()
+        self.demand = Random(f"demand {seed}")  # the same requests come whatever the routers do
         self.traffic, self.groups, self.prefix_tokens = traffic, groups, prefix_tokens
         self.workers = {mark: PrefillWorker(self) for mark in range(1, workers + 1)}
         self.workers |= {mark: DecodeWorker(self) for mark in range(1001, 1001 + workers)}
-        known, cases = list(self.workers), [some.case for some in traffic]
+        known, cases = list(self.workers), [part.case for part in traffic]
         self.hosts = [Host(self, self.random.getrandbits(32), routers, cases, list(tenants)) for _ in range(routers)]
-        self.weights = [self.random.expovariate(1) ** 2 + 0.2 for _ in self.hosts]  # some get several times the mean
+        # Some routers get several times the mean traffic.
+        self.weights = [self.random.expovariate(1) ** 2 + 0.2 for _ in self.hosts]
         for host in self.hosts:
-            host.told(known)
-        for mark in self.random.sample(known[:workers], int(cold * workers)):
+            host.list_workers(known)
+        for mark in self.random.sample(known[:workers], int(warming * workers)):
             self.after(at + self.random.randrange(3 * S), lambda mark=mark: self.replace(mark))
-        for some in traffic:
-            self.sessions(some, some.load * workers * TOKENS_PER_S / MEAN_PROMPT / S)
+        for part in traffic:
+            self.start_sessions(part, part.load * workers * TOKENS_PER_S / MEAN_PROMPT / S)
 
-    def sessions(self, some, rate):
-        """New sessions as they come, with all their turns."""
+    def start_sessions(self, part, rate):
+        """Starts sessions at the given rate, each with all its turns."""
 
         def begin():
-            session, turns = f"s{next(self.sessions_begun)}", self.demand.choice(some.turns)
-            prompt = 50 + int(self.demand.lognormvariate(log(MEDIAN_PROMPT), SIGMA))
-            prompt += self.prefix_tokens * bool(some.prefix)
+            session, turns = f"s{next(self.sessions_started)}", self.demand.choice(part.turns)
+            prompt = 50 + int(self.demand.lognormvariate(log(MEDIAN_PROMPT), PROMPT_SIGMA))
+            prompt += self.prefix_tokens * bool(part.prefix)
             wait = 0
             for turn in range(turns):
                 text = min(LONGEST_PROMPT, int(prompt * (1 + turn / 4)))
-                self.after(wait, lambda text=text: self.turn(some, session, text))
+                self.after(wait, lambda text=text: self.turn(part, session, text))
                 wait += self.demand.expovariate(1 / 2) * S
-            self.after(self.demand.expovariate(rate / (sum(some.turns) / len(some.turns))), begin)
+            self.after(self.demand.expovariate(rate / (sum(part.turns) / len(part.turns))), begin)
 
         begin()
 
-    def turn(self, some, session, prompt):
+    def turn(self, part, session, prompt):
         request = Request(
-            some.case,
+            part.case,
             session,
             prompt,
             self.now,
-            some.prefix,
-            tenant=some.tenant,
-            value_over_share=some.value_over_share,
+            part.prefix,
+            tenant=part.tenant,
+            value_over_share=part.value_over_share,
         )
-        some.requests.append(request)
-        self.arrives(request)
+        part.requests.append(request)
+        self.submit(request)
 
-    def arrives(self, request):
+    def submit(self, request):
         request.tries += 1
-        self.random.choices(self.hosts, self.weights)[0].arrives(request)
+        self.random.choices(self.hosts, self.weights)[0].submit(request)
 
-    def refused(self, request, come_back):
-        request.refusals += 1
-        wait = come_back + self.random.randrange(S // 5)
+    def reject(self, request, retry_after):
+        request.rejections += 1
+        wait = retry_after + self.random.randrange(S // 5)
         if request.tries <= MAX_RETRIES and self.now + wait < request.sent + DEADLINE - S // 2:
-            self.after(wait, lambda: self.arrives(request))
+            self.after(wait, lambda: self.submit(request))
 
     def replace(self, mark):
         new = mark + 100
         self.workers[new] = PrefillWorker(self, born=self.now)
         for attempt in [*self.workers[mark].queue, *filter(None, [self.workers[mark].running])]:
-            attempt.stops(door.CUT)
+            attempt.stop(door.CUT)
         self.workers[mark].fault = SILENT
         for host in self.hosts:
             self.after(
-                self.random.randrange(*DISCOVERY_DELAY), lambda host=host: (host.told([mark], "gone"), host.told([new]))
+                self.random.randrange(*DISCOVERY_DELAY),
+                lambda host=host: (host.list_workers([mark], "gone"), host.list_workers([new])),
             )
 
 
 def preferred_worker(world, role, session, prefix=""):
-    """Whom the rendezvous hash picks: the decode worker for the session, the prefill worker of its group for the text."""
+    """Endpoint id of the preferred replica: the decode worker for the session, or the prefill worker of its group for the
+    prefix."""
     roster = world.hosts[0].router.roster
     decode = roster.decode_workers[roster.decode_orders.order(crc32(f"{session} 0".encode()))[0]].endpoint
     if role == "decode":
@@ -377,11 +383,11 @@
 
 
 def answered_share(requests):
-    return sum(not request.refused for request in requests) / len(requests)
+    return sum(not request.unanswered for request in requests) / len(requests)
 
 
 def by_length(requests):
-    """The tenth with the longest prompts, and the next fifth."""
+    """The tenth of the requests with the longest prompts, and the next fifth."""
     longest = sorted(requests, key=lambda request: -request.prompt)
     tenth = len(longest) // 10
     return longest[:tenth], longest[tenth : 3 * tenth]
@@ -392,23 +398,23 @@
     return [answered_share(some) / answered_share(requests) for some in by_length(requests)]
 
 
-def refused_throughout(requests, shuffles=40):
-    """The part of the sessions of which all turns were refused; and what it is by chance: with the same refusals dealt
-    out anew among the sessions of the same number of turns."""
+def sessions_never_answered(requests, shuffles=40):
+    """The share of sessions of which no turn was answered, and the share expected by chance: with the same unanswered turns
+    redistributed at random among the sessions of the same number of turns."""
     turns, random, by_chance = {}, Random(1), 0
     for request in requests:
-        turns.setdefault(request.session, []).append(request.refused)
+        turns.setdefault(request.session, []).append(request.unanswered)
     sessions = list(turns.values())
-    for length in {len(refused) for refused in sessions}:
-        refusals = [one for refused in sessions if len(refused) == length for one in refused]
+    for length in {len(unanswered) for unanswered in sessions}:
+        outcomes = [one for unanswered in sessions if len(unanswered) == length for one in unanswered]
         for _ in range(shuffles):
-            random.shuffle(refusals)
-            by_chance += sum(all(refusals[i : i + length]) for i in range(0, len(refusals), length))
+            random.shuffle(outcomes)
+            by_chance += sum(all(outcomes[i : i + length]) for i in range(0, len(outcomes), length))
     return sum(map(all, sessions)) / len(sessions), by_chance / shuffles / len(sessions)
 
 
 def play(seeds, traffic, until=22 * S, **world):
-    """The requests of each part of the traffic, of all seeds together, but for those whose deadline is not over."""
+    """The requests of each part of the traffic, of all seeds together, without those whose deadline has not passed."""
     played = []
     for seed in seeds:
         parts = traffic()
@@ -421,8 +427,8 @@
 
 
 def lone_router(seed, role, fault, prefix="", load=0.4, until=14 * S, target=(), **world):
-    """A router alone, of which the first session's preferred worker misbehaves: all requests, and those of sessions of
-    which it is the preferred worker."""
+    """A single router whose first session's preferred worker has a fault; returns all requests, and those of the sessions
+    that prefer this worker."""
     part = Traffic(request_class(*target), load, turns=(1, 2, 3), prefix=prefix)
     world = World(seed, [part], routers=1, prefix_tokens=1500 * bool(prefix), **world)
     bad = preferred_worker(world, role, "s0", prefix)
@@ -435,8 +441,8 @@
 def main(seeds):
     seeds = range(1, seeds + 1)
     for target_ms, per_1000_ms in ((600, 0), (1200, 0), (1200, 84)):
-        for value, others in ((1.0, 0.0), (0.3, 0.5)):  # `others`: the part of a class of value 1 beside it
-            for cold in (0.0, 0.6):
+        for value, others in ((1.0, 0.0), (0.3, 0.5)):  # `others`: share of a class of value 1 beside it
+            for warming in (0.0, 0.6):
                 for load in (0.6, 1.0, 1.3):
 
                     def traffic(target_ms=target_ms, per_1000_ms=per_1000_ms, value=value, others=others, load=load):
@@ -445,18 +451,18 @@
                             [Traffic(request_class(target_ms, per_1000_ms), load * others)] if others else []
                         )
 
-                    requests = play(seeds, traffic, cold=cold)[0]
+                    requests = play(seeds, traffic, warming=warming)[0]
                     tenth, fifth = shares_of_the_longest(requests)
                     in_time = sum(request.in_time for request in requests) / len(requests)
                     print(
-                        f"target {target_ms} ms + {per_1000_ms} per 1,000 tokens, value {value}, cold {cold}, load {load}: "
-                        f"{len(requests)} requests, answered {answered_share(requests):.3f} (in time {in_time:.3f}), "
-                        f"longest tenth {tenth:.2f} of that, next fifth {fifth:.2f}",
+                        f"target {target_ms} ms + {per_1000_ms} per 1,000 tokens, value {value}, cold {warming}, load "
+                        f"{load}: {len(requests)} requests, answered {answered_share(requests):.3f} (in time {in_time:.3f}"
+                        f"), longest tenth {tenth:.2f} of that, next fifth {fifth:.2f}",
                         flush=True,
                     )
     for load in (0.6, 1.0, 1.3):
         for requests in play(seeds, lambda load=load: two_values(load)):
-            found, chance = refused_throughout(requests)
+            found, chance = sessions_never_answered(requests)
             print(
                 f"load {load}, value {requests[0].case.benefit}: {len({request.session for request in requests})} sessions, "
                 f"refused throughout {found:.3f}, by chance {chance:.3f}",
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -74,8 +74,8 @@
 
 def test_a_text_that_decides_otherwise_is_found_at_its_first_step(record):
     class Other(Router):
-        def guard(self, question, worker, place=False):
-            return super().guard(question, worker, place) and self.clock < S
+        def may_start(self, question, worker, reservation=False):
+            return super().may_start(question, worker, reservation) and self.clock < S
 
     with pytest.raises(replay.Difference) as met:
         replay.replay(record, Other)
