--- a/tests/fairness_fleet.py
+++ b/tests/fairness_fleet.py
@@ -67,15 +67,15 @@
 class PrefillWorker:
     """Runs one prefill after another, and caches the text of sessions and prefixes."""
 
-    def __init__(self, world, born=None):
-        self.world, self.born, self.fault = world, born, ""
+    def __init__(self, world, started_at=None):
+        self.world, self.started_at, self.fault = world, started_at, ""
         self.queue, self.cached, self.running = deque(), {}, None
 
     def pace(self):
         """Tokens a second now; rises evenly while it warms up."""
         share = 1.0
-        if self.born is not None:
-            share = min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (self.world.now - self.born) / LAW.cold_for)
+        if self.started_at is not None:
+            share = min(1.0, LAW.cold_from + (1 - LAW.cold_from) * (self.world.now - self.started_at) / LAW.cold_for)
         return TOKENS_PER_S * share / (SLOW_FACTOR if self.fault == SLOW else 1)
 
     def uncached_tokens(self, view):
@@ -185,7 +185,7 @@
         for mark in marks:
             worker = self.world.workers[mark]
             if mark not in self.endpoints:
-                role, born = ("read", worker.born) if isinstance(worker, PrefillWorker) else ("write", None)
+                role, born = ("read", worker.started_at) if isinstance(worker, PrefillWorker) else ("write", None)
                 self.endpoints[mark] = door.Endpoint(
                     mark, role, mark % self.world.groups, zone=0, memory=440_000, born=born
                 )
@@ -359,7 +359,7 @@
 
     def replace(self, mark):
         new = mark + 100
-        self.workers[new] = PrefillWorker(self, born=self.now)
+        self.workers[new] = PrefillWorker(self, started_at=self.now)
         for attempt in [*self.workers[mark].queue, *filter(None, [self.workers[mark].running])]:
             attempt.stop(door.CUT)
         self.workers[mark].fault = SILENT
--- a/tests/rules_rig.py
+++ b/tests/rules_rig.py
@@ -1,4 +1,4 @@
-"""Helper that the stories of the decisions share."""
+"""Helper that the tests of the decision module share."""
 
 from fakehost import MS
 
@@ -6,6 +6,6 @@
 
 
 def read(host, view, **more):
-    """The request's prefill ends well, 50 ms from now."""
+    """Ends the request's prefill successfully, 50 ms from now."""
     host.now += 50 * MS
     host.ends(view, door.READ, **more)
--- a/tests/test_long_life.py
+++ b/tests/test_long_life.py
@@ -1,4 +1,4 @@
-"""What a router keeps does not grow with the workers that were replaced during its life."""
+"""Tests for leaks: the state of a router does not grow with the number of workers that were replaced during its life."""
 
 import gc
 
@@ -27,7 +27,7 @@
     profile, log = Profile(SETTINGS), Log("n", Quiet())
     endpoints, engines = EndpointList(profile, log), PlatformConnector(log, profile, ConnectionBudget(16))
 
-    def told(seq, *entries):
+    def update_endpoints(seq, *entries):
         update = platform.EndpointUpdate(seq, False, list(entries))
         for worker, address in endpoints.update(update, seq * S, seq * 1000):
             engines.set_address(worker, address)
@@ -36,18 +36,18 @@
         engines.expire_idle()
 
     for seq in range(1, REPLACED):
-        told(seq, list_entry(f"w{seq}", born_ms=seq * 1000), {"host": f"w{seq - 1}", "health": "Gone"})
+        update_endpoints(seq, list_entry(f"w{seq}", born_ms=seq * 1000), {"host": f"w{seq - 1}", "health": "Gone"})
     patch.undo()
-    told(2 * REPLACED, list_entry("last"))
+    update_endpoints(2 * REPLACED, list_entry("last"))
     gc.collect()
-    kept = (
+    tables = (
         endpoints.workers.endpoints,
         endpoints.workers.ids,
         endpoints.addresses,
         endpoints.starts,
         endpoints.placements,
     )
-    assert [len(part) for part in kept] == [2, 2, 2, 1, 2] and len(engines.workers) == 2
+    assert [len(part) for part in tables] == [2, 2, 2, 1, 2] and len(engines.workers) == 2
 
 
 def test_the_decisions_forget_workers_that_are_gone_once_nothing_is_out_there():
@@ -66,9 +66,9 @@
 def test_a_worker_that_is_gone_while_a_request_is_out_there_is_remembered_until_its_outcome():
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write")])
     view = host.ask()
-    reader = host.last(view)[2]
-    reader.state = "gone"
-    host.router.listed(host.now, [reader])
+    prefill_worker = host.last(view)[2]
+    prefill_worker.state = "gone"
+    host.router.listed(host.now, [prefill_worker])
     host.wait(3 * S)
     host.ends(view, door.READ)
     assert host.told("send", view)[-1][2].mark == 2
--- a/tests/test_rules_answers.py
+++ b/tests/test_rules_answers.py
@@ -1,4 +1,4 @@
-"""Stories of the decisions: final answers to clients, in time and from the queue."""
+"""Tests of the decision module: final answers to clients, in time and from the queue."""
 
 import pytest
 from fakehost import MS, FakeHost, S, endpoint, fleet
@@ -54,7 +54,7 @@
     assert all(0 < a[2] <= 5000 for a in host.told("turn_back")) and host.told("turn_back")
 
 
-def ended(host, view):
+def rejected_or_failed(host, view):
     return host.told("turn_back", view) + host.told("scrap", view)
 
 
@@ -71,17 +71,17 @@
 def test_with_nobody_to_read_or_to_write_it_a_question_is_answered_on_its_arrival(endpoints):
     host = FakeHost(endpoints, longest_wait=S)
     view = host.ask()
-    assert [a[2] for a in host.told("turn_back", view)] == [6200]  # when to come back is named
+    assert [a[2] for a in host.told("turn_back", view)] == [6200]  # with a retry-after time
     assert not host.told("send") and view not in host.router.requests
 
 
 def test_a_question_whose_last_workers_went_is_answered_on_that_event_not_near_its_outer_limit():
     host = FakeHost(fleet())
     view = host.ask()
-    for b in host.endpoints:
-        b.state = "gone"
+    for each in host.endpoints:
+        each.state = "gone"
     host.router.listed(host.now, host.endpoints)
-    assert not ended(host, view)  # its read is still out
+    assert not rejected_or_failed(host, view)  # its prefill is still open
     host.now += 50 * MS
     host.ends(view, door.CUT)
     assert host.told("turn_back", view) and view not in host.router.requests
@@ -91,11 +91,12 @@
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write")])
     first = host.ask()
     read(host, first)
-    for b in host.endpoints:
-        host.router.workers[b].mark_suspect("a story", True)
+    for each in host.endpoints:
+        host.router.workers[each].mark_suspect("a test", True)
     view = host.ask(session="b")
     host.wait(100 * MS)
-    assert not host.told("send", view) and not ended(host, view)  # a doubted worker may come back: it waits
+    # A suspect worker may recover, so the request waits.
+    assert not host.told("send", view) and not rejected_or_failed(host, view)
     host.endpoints[0].state = "draining"
     host.router.listed(host.now, host.endpoints[:1])
     assert host.told("turn_back", view) and not host.router.admission.new_requests
@@ -106,13 +107,13 @@
     host = FakeHost(fleet(), effect="receipted", group="cell")
     view = host.ask()
     read(host, view)
-    cell = [b for b in host.endpoints if b.cell == host.last(view)[2].cell]
+    group = [each for each in host.endpoints if each.cell == host.last(view)[2].cell]
     if late:
         host.now += 5 * S
     else:
-        for b in cell:
-            b.state = "gone"
-        host.router.listed(host.now, cell)
+        for each in group:
+            each.state = "gone"
+        host.router.listed(host.now, group)
     host.ends(view, door.FAULT)
     assert host.told("scrap", view) and len(host.told("send", view)) == 2 and view not in host.router.requests
 
@@ -122,13 +123,13 @@
     host = FakeHost(fleet())
     view = host.ask() if sent else None
     for worker in host.router.workers.values():
-        worker.mark_suspect("a story", True)
-        worker.half_open_at = 100 * S  # usable again too late for it
+        worker.mark_suspect("a test", True)
+        worker.half_open_at = 100 * S  # later than the request may wait
     if sent:
         host.ends(view, door.CUT)
     view = view or host.ask()
     host.wait(int(until) - MS)
-    assert not ended(host, view)
+    assert not rejected_or_failed(host, view)
     host.wait(200 * MS)
     assert host.told("turn_back", view) and len(host.told("send", view)) == sent
 
@@ -136,12 +137,11 @@
 def test_losing_its_place_to_others_again_and_again_does_not_keep_a_question_till_its_outer_limit(monkeypatch):
     host = FakeHost(fleet())
     view = host.ask()
-    monkeypatch.setattr(
-        PolicyRequest, "send", lambda *_: False
-    )  # what it was given was always used up by another since
+    # As if another request had always used up the assigned worker's slow start budget since.
+    monkeypatch.setattr(PolicyRequest, "send", lambda *_: False)
     host.ends(view, door.CUT)
     host.wait(12_400 - MS)
-    assert not ended(host, view)
+    assert not rejected_or_failed(host, view)
     host.wait(200 * MS)
     assert host.told("turn_back", view)
 
--- a/tests/test_rules_attempts.py
+++ b/tests/test_rules_attempts.py
@@ -1,4 +1,4 @@
-"""Stories of the decisions: a request's attempts, their repeats and what they hold."""
+"""Tests of the decision module: the attempts of a request, their retries, KV state and reservations."""
 
 import pytest
 from fakehost import MS, FakeHost, S, endpoint, fleet
@@ -10,10 +10,10 @@
 def test_a_question_is_read_and_written_in_one_cell_and_answered_once():
     host = FakeHost(fleet())
     view = host.ask()
-    reader = host.last(view)[2]
+    prefill_worker = host.last(view)[2]
     read(host, view)
-    writer = host.last(view)[2]
-    assert (reader.role, writer.role, reader.cell) == ("read", "write", writer.cell)
+    decode_worker = host.last(view)[2]
+    assert (prefill_worker.role, decode_worker.role, prefill_worker.cell) == ("read", "write", decode_worker.cell)
     host.first(view)
     host.ends(view, door.DONE, final=True)
     host.wait(20 * S)
@@ -27,8 +27,8 @@
     for _ in range(3):
         host.ends(view, door.FAULT)
         host.wait(60 * MS)
-    sends = host.told("send", view)
-    assert len(sends) == 3 and sends[0][2] is not sends[1][2]
+    attempts = host.told("send", view)
+    assert len(attempts) == 3 and attempts[0][2] is not attempts[1][2]
     assert len(host.told("turn_back", view)) == 1
 
 
@@ -87,13 +87,13 @@
     first = host.last(view)[2]
     host.ends(view, door.FAULT)
     host.wait(60 * MS)
-    again = [a[2] for a in host.told("send", view)[2:] if a[2].role == "write"]
-    assert all(b.cell == first.cell for b in again) if group == "cell" else len(again) == 1
+    retried = [a[2] for a in host.told("send", view)[2:] if a[2].role == "write"]
+    assert all(e.cell == first.cell for e in retried) if group == "cell" else len(retried) == 1
     host.wait(6 * S)
-    host.ends(view, door.FAULT) if again else None
-    sends = len(host.told("send", view))
+    host.ends(view, door.FAULT) if retried else None
+    attempts = len(host.told("send", view))
     host.wait(60 * S)
-    assert len(host.told("send", view)) == sends
+    assert len(host.told("send", view)) == attempts
     assert bool(host.told("scrap", view)) == (group == "cell")
 
 
@@ -111,9 +111,9 @@
     host = FakeHost(endpoints, effect="receipted", group="cell")
     view = host.ask()
     read(host, view)
-    used = host.last(view)[2]
+    decode_worker = host.last(view)[2]
     for other in endpoints:
-        if other.cell == used.cell and other.role == "read":
+        if other.cell == decode_worker.cell and other.role == "read":
             other.state = "gone"
             host.router.listed(host.now, [other])
     host.ends(view, door.FAULT)
@@ -125,7 +125,7 @@
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write"), endpoint(3, "write")], places=True)
     view = host.ask()
     host.router.place(host.now, view, host.told("hold_place", view)[0][2], False)
-    places = [a[2] for a in host.told("hold_place", view)]
-    assert len(set(places)) == 2
+    reserved = [a[2] for a in host.told("hold_place", view)]
+    assert len(set(reserved)) == 2
     read(host, view)
-    assert host.last(view)[2] is places[1]
+    assert host.last(view)[2] is reserved[1]
--- a/tests/test_rules_choice.py
+++ b/tests/test_rules_choice.py
@@ -1,4 +1,4 @@
-"""Stories of the decisions: which worker is chosen, by its load, cached prefixes, pace and the other routers."""
+"""Tests of the decision module: which worker is chosen, by its load, cached prefixes, pace and the other routers."""
 
 from fakehost import MS, FakeHost, S, endpoint
 from rules_rig import read
@@ -14,18 +14,18 @@
         read(host, view)
         host.first(view)
         host.ends(view, door.DONE, final=True, report=door.LoadReport(memory_share=share))
-    free = host.last(view)[2]
+    less_loaded = host.last(view)[2]
     later = host.ask(session="later")
     read(host, later)
-    assert host.last(later)[2] is free
+    assert host.last(later)[2] is less_loaded
 
 
 def test_a_session_comes_back_to_the_reader_that_kept_its_text():
     host = FakeHost([endpoint(n, "read") for n in range(4)] + [endpoint(9, "write")])
     view = host.ask(prompt=4000)
-    reader = host.last(view)[2]
+    prefill_worker = host.last(view)[2]
     read(host, view)
-    assert host.last(host.ask(prompt=4100))[2] is reader
+    assert host.last(host.ask(prompt=4100))[2] is prefill_worker
 
 
 def test_every_router_picks_the_same_reader_for_an_unseen_shared_beginning():
@@ -45,14 +45,14 @@
 
 def test_an_old_report_of_a_long_queue_is_not_believed():
     host = FakeHost([endpoint(1, "read"), endpoint(2, "read"), endpoint(3, "write")])
-    idle, view = host.ask(session="c", prompt=4000), host.ask()
-    jammed = host.last(view)[2]
-    assert host.last(idle)[2] is not jammed
-    read(host, idle, report=door.LoadReport(tokens_waiting=0))
+    other, view = host.ask(session="c", prompt=4000), host.ask()
+    busy = host.last(view)[2]
+    assert host.last(other)[2] is not busy
+    read(host, other, report=door.LoadReport(tokens_waiting=0))
     read(host, view, report=door.LoadReport(tokens_waiting=20_000))
-    assert host.last(host.ask(session="b"))[2] is not jammed
+    assert host.last(host.ask(session="b"))[2] is not busy
     host.wait(3 * S)
-    worker = host.router.workers[jammed]
+    worker = host.router.workers[busy]
     assert worker.others_waiting_tokens(0.5) == 0
 
 
@@ -81,19 +81,19 @@
         endpoint(100 + n, "write", n % 10) for n in range(30)
     ]
     hosts = [FakeHost(endpoints, routers=150) for _ in range(3)]
-    picks = []
+    chosen = []
     for n in range(60):
         view = hosts[n % 3].ask(session=f"s{n}")
         read(hosts[n % 3], view)
-        picks.append(hosts[n % 3].last(view)[2])
-    assert len(set(picks)) > 15 and max(picks.count(b) for b in picks) < 10
+        chosen.append(hosts[n % 3].last(view)[2])
+    assert len(set(chosen)) > 15 and max(chosen.count(e) for e in chosen) < 10
 
 
 def test_a_session_that_comes_to_another_router_finds_the_reader_of_its_home():
     endpoints = [endpoint(n, "read", n % 5) for n in range(10)] + [endpoint(100 + n, "write", n % 5) for n in range(30)]
     hosts = [FakeHost(endpoints, routers=150) for _ in range(2)]
-    readers = [{h.last(h.ask(session=f"s{n}", prompt=2000))[2] for h in hosts} for n in range(20)]
-    assert sum(len(pair) == 1 for pair in readers) >= 16
+    prefill_workers = [{h.last(h.ask(session=f"s{n}", prompt=2000))[2] for h in hosts} for n in range(20)]
+    assert sum(len(pair) == 1 for pair in prefill_workers) >= 16
 
 
 def test_a_party_that_is_turned_away_as_full_goes_elsewhere_and_others_stay():
@@ -117,32 +117,34 @@
 
 
 def test_a_writer_of_which_nothing_is_known_is_taken_for_as_fast_as_its_like():
-    """Else the ones that showed themselves fast would be preferred for ever, and it would get nothing."""
+    """A worker without samples has the average figures of its role. Otherwise those with fast samples would always be
+    preferred, and it would never get a request and so never a sample."""
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write"), endpoint(3, "write")])
-    known = None
+    first_chosen = None
     for number in range(40):
         view = host.ask(session=str(number))
         read(host, view)
-        known = known or host.last(view)[2]
+        first_chosen = first_chosen or host.last(view)[2]
         host.first(view)
         host.now += 100 * MS
         host.ends(view, door.DONE, final=True, report=door.LoadReport(memory_share=0.1))
-        if host.last(view)[2] is not known:
+        if host.last(view)[2] is not first_chosen:
             return
     raise AssertionError("the other writer got nothing")
 
 
 def test_a_prefix_has_one_home_where_few_cells_have_writers():
-    """Cells 0 and 1 have a writer and a reader, six others two readers each: whoever is asked, it is read at one place."""
+    """Groups 0 and 1 have a decode and a prefill worker each, six others two prefill workers each. Every router sends the
+    prefills of one prefix to the same worker."""
     endpoints = [endpoint(1, "write"), endpoint(2, "write", cell=1), endpoint(3, "read"), endpoint(4, "read", cell=1)]
     endpoints += [endpoint(10 * cell + n, "read", cell=cell, zone=cell % 2) for cell in range(2, 8) for n in range(2)]
-    homes, read_at = {}, []
+    preferred, prefilled_at = {}, []
     for n in range(60):
-        for text in ("a", "b", "c", "d", f"only {n}"):
+        for prefix in ("a", "b", "c", "d", f"only {n}"):
             host = FakeHost(endpoints, routers=60, seed=n)
-            read_at.append(
-                host.last(host.ask(prompt=4000, session=f"{n} {text}", prefix=text, prefix_tokens=3500))[2].mark
+            prefilled_at.append(
+                host.last(host.ask(prompt=4000, session=f"{n} {prefix}", prefix=prefix, prefix_tokens=3500))[2].mark
             )
-            homes.setdefault(text, set()).add(read_at[-1])
-    assert all(len(homes[text]) == 1 for text in "abcd")
-    assert len(set(read_at)) == 14  # and nobody is left out, also not those beside a writer
+            preferred.setdefault(prefix, set()).add(prefilled_at[-1])
+    assert all(len(preferred[prefix]) == 1 for prefix in "abcd")
+    assert len(set(prefilled_at)) == 14  # and every prefill worker is used, also those whose group has a decode worker
--- a/tests/test_rules_subset.py
+++ b/tests/test_rules_subset.py
@@ -1,4 +1,4 @@
-"""Stories of the decisions: a router that ordinarily uses a subset of the workers."""
+"""Tests of the decision module: a router that uses a subset of the workers unless they cannot serve a request."""
 
 from fakehost import MS, FakeHost, fleet
 from rules_rig import read
@@ -6,15 +6,15 @@
 from ramppulley import door
 
 
-def usual(host, *marks):
-    for one in host.endpoints:
-        one.usual = one.mark in marks
+def with_subset(host, *marks):
+    for each in host.endpoints:
+        each.usual = each.mark in marks
     host.router.listed(host.now, host.endpoints)
     return host
 
 
 def test_only_workers_of_the_subset_are_used_while_they_are_well():
-    host = usual(FakeHost(fleet(), routers=8), 0, 2)
+    host = with_subset(FakeHost(fleet(), routers=8), 0, 2)
     for number in range(6):
         view = host.ask(session=str(number), prompt=200)
         assert host.last(view)[2].mark == 0
@@ -25,14 +25,14 @@
 
 
 def test_a_subset_that_drains_is_left_with_that_very_question():
-    host = usual(FakeHost(fleet(), routers=8), 0, 2)
+    host = with_subset(FakeHost(fleet(), routers=8), 0, 2)
     host.endpoints[0].state = "draining"
     host.router.listed(host.now, host.endpoints)
     assert host.last(host.ask())[2].mark in (1, 10, 11)
 
 
 def test_a_failed_send_opens_the_whole_list_for_its_question():
-    host = usual(FakeHost(fleet(), routers=8), 0, 2)
+    host = with_subset(FakeHost(fleet(), routers=8), 0, 2)
     view = host.ask()
     host.ends(view, door.NO_ROUTE)
     host.wait(60 * MS)
@@ -40,17 +40,17 @@
 
 
 def test_a_subset_that_is_far_behind_is_left_although_it_would_still_be_admitted():
-    host = usual(FakeHost(fleet(), routers=8), 0, 2)
+    host = with_subset(FakeHost(fleet(), routers=8), 0, 2)
     first = host.ask(prompt=1000)
     host.now += 100 * MS
-    host.ends(first, door.READ)  # it reads 1,000 tokens in 100 ms
+    host.ends(first, door.READ)  # 1,000 prompt tokens in 100 ms
     view = host.ask(session="x", prompt=3600)
     assert host.last(view)[2].mark == 0
     assert host.last(host.ask(session="y", prompt=2000))[2].mark in (1, 10, 11)
 
 
 def test_a_state_whose_writers_of_the_subset_are_full_goes_to_another_of_its_cell():
-    host = usual(FakeHost(fleet(), routers=8), 0, 2)
+    host = with_subset(FakeHost(fleet(), routers=8), 0, 2)
     view = host.ask()
     read(host, view)
     host.ends(view, door.NO_ROOM)
--- a/tests/test_rules_workers.py
+++ b/tests/test_rules_workers.py
@@ -1,4 +1,4 @@
-"""Stories of the decisions: workers that drain, warm up, fall silent or are probed."""
+"""Tests of the decision module: workers that drain, warm up, fall silent or are probed."""
 
 import pytest
 from fakehost import MS, FakeHost, S, endpoint, fleet
@@ -52,21 +52,21 @@
         return sum(len(host.told("send", view)) == 2 for view in asked)
 
     serve(60)
-    for reader in endpoints[:2]:
-        reader.born = host.now
+    for prefill_worker in endpoints[:2]:
+        prefill_worker.born = host.now
     host.router.listed(host.now, endpoints[:2])
     assert serve(40) >= 20
 
 
 def test_a_silent_reader_is_noticed_by_its_peers_and_comes_back_by_one_trial():
     host = FakeHost([endpoint(1, "read"), endpoint(2, "read"), endpoint(3, "read"), endpoint(4, "write")])
-    stuck = host.ask(prompt=500)
-    silent = host.last(stuck)[2]
+    unanswered = host.ask(prompt=500)
+    silent = host.last(unanswered)[2]
     host.wait(3 * S)
-    assert any("doubted" in line for line in host.lines) and host.told("withdraw", stuck)
-    host.ends(stuck, door.UNDONE)
-    tries = [host.last(host.ask(session=str(n)))[2] for n in range(6)]
-    assert tries.count(silent) <= 1
+    assert any("doubted" in line for line in host.lines) and host.told("withdraw", unanswered)
+    host.ends(unanswered, door.UNDONE)
+    chosen = [host.last(host.ask(session=str(n)))[2] for n in range(6)]
+    assert chosen.count(silent) <= 1
 
 
 def test_silence_everywhere_does_not_condemn_everybody():
@@ -79,25 +79,25 @@
 
 def test_a_trial_is_given_its_time_and_clears_the_worker():
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write")])
-    lost = host.ask()
-    host.ends(lost, door.CUT)
+    cut = host.ask()
+    host.ends(cut, door.CUT)
     host.wait(700 * MS)
-    trial = host.ask(session="b")
-    assert len(host.told("send", lost)) + len(host.told("send", trial)) == 2
-    tried = trial if host.told("send", trial) else lost
+    probe = host.ask(session="b")
+    assert len(host.told("send", cut)) + len(host.told("send", probe)) == 2
+    half_open = probe if host.told("send", probe) else cut
     host.wait(300 * MS)
-    assert not host.told("withdraw", tried)
-    host.ends(tried, door.READ)
+    assert not host.told("withdraw", half_open)
+    host.ends(half_open, door.READ)
     assert any("trusted again" in line for line in host.lines)
 
 
 def test_one_lost_connection_does_not_condemn_a_worker_whose_streams_go_on():
     host = FakeHost([endpoint(1, "read"), endpoint(2, "write")])
-    streaming, lost = host.ask(), host.ask(session="b")
-    for view in (streaming, lost):
+    streaming, cut = host.ask(), host.ask(session="b")
+    for view in (streaming, cut):
         read(host, view)
     host.first(streaming)
-    host.ends(lost, door.CUT)
+    host.ends(cut, door.CUT)
     worker = host.router.workers[host.endpoints[1]]
     assert worker.suspect
     host.wait(110 * MS)
@@ -112,9 +112,9 @@
     view = host.ask()
     asked = [a[1] for a in host.told("probe")]
     assert 1 <= len(asked) <= 4 and not host.told("send", view)
-    for one in asked:
+    for candidate in asked:
         host.now += 1
-        host.router.probed(host.now, one, door.NO_ROOM, None)
+        host.router.probed(host.now, candidate, door.NO_ROOM, None)
     assert host.told("send", view) and not any(w.suspect for w in host.router.workers.values())
 
 
@@ -126,7 +126,7 @@
 
 
 def test_routers_told_of_a_cold_worker_at_once_do_not_all_send_at_once():
-    endpoints, starts = [endpoint(n, "read") for n in range(4)] + [endpoint(9, "write")], []
+    endpoints, first_attempts = [endpoint(n, "read") for n in range(4)] + [endpoint(9, "write")], []
     for seed in range(10):
         host = FakeHost(endpoints, routers=150, seed=seed)
         for n in range(40):
@@ -135,15 +135,16 @@
             read(host, view)
             host.first(view)
             host.ends(view, door.DONE, final=True)
-        cold = host.router.workers[endpoints[0]]
-        host.router.tell(host.now, (cold, "listed", "ready", host.now))
-        starts.append(cold.warming_next_at - host.now)
-    assert len(set(starts)) > 5 and max(starts) - min(starts) > 100 * MS
+        warming = host.router.workers[endpoints[0]]
+        host.router.tell(host.now, (warming, "listed", "ready", host.now))
+        first_attempts.append(warming.warming_next_at - host.now)
+    assert len(set(first_attempts)) > 5 and max(first_attempts) - min(first_attempts) > 100 * MS
 
 
 @pytest.mark.parametrize("usual_ms, doubted", [(0, True), (1500, False)], ids=["quick workers", "a loaded fleet"])
 def test_unanswered_probes_say_nothing_before_the_usual_wait_is_over(usual_ms, doubted):
-    """On a loaded fleet a probe takes as long as all else, and a worker that is quiet for a second is as its like."""
+    """On a loaded fleet a probe takes as long as any request, so a worker that is silent for a second may be as healthy as
+    the others of its role."""
     endpoints = [endpoint(1, "read"), endpoint(2, "read"), endpoint(3, "read"), endpoint(9, "write")]
     host = FakeHost(endpoints, probes=True)
     host.now = 10 * S
@@ -151,10 +152,10 @@
     for worker in workers[1:3]:
         worker.first_token_times.add(host.now, usual_ms * MS)
     view = host.ask(session="a")
-    host.wait(100 * MS)  # for reports, of which none comes
-    reader = host.router.workers[host.last(view)[2]]
+    host.wait(100 * MS)  # until the request stops waiting for reports, as none comes
+    prefill_worker = host.router.workers[host.last(view)[2]]
     for _ in range(3):
         host.wait(300 * MS)
-        reader.probing = True
-        host.router.probed(host.now, reader.endpoint, door.TOO_SLOW, None)
-    assert bool(reader.suspect) is doubted
+        prefill_worker.probing = True
+        host.router.probed(host.now, prefill_worker.endpoint, door.TOO_SLOW, None)
+    assert bool(prefill_worker.suspect) is doubted
