--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -79,7 +79,7 @@
 REJECTION_MAX_AGE = 20_000 * MS  # the score of a rejection falls to zero over this time
 GROUP_REACH_FACTOR = 1.5  # a group's prefill workers serve its decode workers up to so many times their even share
 PREFERRED_MISSING_SHARE = 0.5  # of a shared prefix, which the preferred replica may lack
-PREFERRED_SESSION_SHARE = 0.5  # of a session's own text, which the preferred replica of its own group is taken to have
+PREFERRED_SESSION_SHARE = 0.5  # of a session's own text, which the preferred replica of its group is taken to have
 MIXED_PREFILL_OF_TARGET = 0.15  # a mixed worker prefills prompts that take at most this long
 
 # Fault detection
@@ -518,7 +518,7 @@
         self.missed_probes = 0
 
     def mark_suspect(self, reason, proved=False):
-        """Takes a failed or silent worker out of use until a half-open probe succeeds.
+        """Takes a failed or silent worker out of use until it responds again, for instance to a half-open probe.
 
         Without proof only a part of the workers of its role may be suspect at once, as overload makes all of them silent.
         """
@@ -642,6 +642,7 @@
         return True
 
     def reserve(self, decode_workers):
+        """Reserves capacity at the first of these workers that the router's guard allows."""
         self.reserved_worker = next(
             (w for w in decode_workers if self.router.may_start(self, w, reservation=True)), None
         )
@@ -1030,13 +1031,17 @@
                 decode_worker.cached_figures.wait,
             )
             if decode_worker.can_prefill:
-                elapsed, score, _ = self.score_prefill(request, decode_worker, plain)
-                if elapsed <= MIXED_PREFILL_OF_TARGET * target or mixed_only:
-                    fastest, score = min(fastest, elapsed), score + decode_score
+                prefill_time, score, _ = self.score_prefill(request, decode_worker, plain)
+                if prefill_time <= MIXED_PREFILL_OF_TARGET * target or mixed_only:
+                    fastest, score = min(fastest, prefill_time), score + decode_score
                     if best is None or score < min_score:
                         # Where all workers are mixed, `wait` was measured up to the first token and contains the prefill.
                         best, min_score = (
-                            (max(elapsed, wait) if mixed_only else elapsed + wait, decode_worker, decode_worker),
+                            (
+                                max(prefill_time, wait) if mixed_only else prefill_time + wait,
+                                decode_worker,
+                                decode_worker,
+                            ),
                             score,
                         )
             # Deviations from the published pair mechanism: prefill workers of all groups where the own group has few, and of
@@ -1066,12 +1071,12 @@
                     scored += [
                         plain.get(worker) or self.score_prefill(request, worker, plain) for worker in workers[1:]
                     ]
-                for elapsed, score, prefill_worker in scored:
-                    if elapsed < fastest:
-                        fastest = elapsed
+                for prefill_time, score, prefill_worker in scored:
+                    if prefill_time < fastest:
+                        fastest = prefill_time
                     score += decode_score + distance * (prefill_worker.endpoint.cell != group)
                     if best is None or score < min_score:
-                        best, min_score = (elapsed + wait, prefill_worker, decode_worker), score
+                        best, min_score = (prefill_time + wait, prefill_worker, decode_worker), score
                 if fastest <= fast_enough:
                     break
         if best is None:
@@ -1084,7 +1089,7 @@
         """(expected time, score, worker) of a prefill there, which is also put into `known`.
 
         Prefix affinity: a preferred replica, for which `own_group` is given, is taken to have cached most of the shared
-        prefix, and in the session's own group also a part of the session's text.
+        prefix, and in the session's preferred group (`own_group` is true) also a part of the session's text.
         """
         view, figures, tokens, reports = (
             request.view,
@@ -1098,9 +1103,9 @@
         if own_group is not None:
             cached_tokens = max(cached_tokens, request.preferred_cached_tokens[own_group])
         uncached_tokens, pace = view.prompt - cached_tokens if view.prompt > cached_tokens else 0, figures.pace
-        elapsed = int((uncached_tokens + figures.ahead + PREFILL_OVERHEAD_TOKENS) * pace)
+        prefill_time = int((uncached_tokens + figures.ahead + PREFILL_OVERHEAD_TOKENS) * pace)
         held_tokens = (reports[-1][1].held or 0) * HELD_REQUEST_TOKENS if reports else 0
-        score = (elapsed + (UNCACHED_SCORE_FACTOR * uncached_tokens + held_tokens) * pace) / request.latency_target
+        score = (prefill_time + (UNCACHED_SCORE_FACTOR * uncached_tokens + held_tokens) * pace) / request.latency_target
         if (
             worker.refused
             or worker.probing
@@ -1112,7 +1117,7 @@
             score += 1
         if worker.suspect and not request.attempts_started:  # a half-open probe is due
             score -= HALF_OPEN_BONUS_SCORE
-        row = known[worker if own_group is None else (worker, own_group)] = elapsed, score, worker
+        row = known[worker if own_group is None else (worker, own_group)] = prefill_time, score, worker
         return row
 
 
--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -58,7 +58,7 @@
 
     def end(clock):
         for worker in module.workers.values():
-            worker.trust()
+            worker.mark_responsive()
         module.tell(clock.now(), (module.admission, "serve"))
 
     return end
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -28,7 +28,7 @@
 async def test_a_fault_in_a_requests_last_timer_still_has_it_answered_in_time():
     async with World() as world:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(AdmissionQueue, "offer", lambda *_: False)  # it waits in line
+            patch.setattr(AdmissionQueue, "try_admit", lambda *_: False)  # it waits in line
             patch.setattr(Router, "reminded", planted)
             async with asyncio.timeout(1.5):  # a second, and half a second of slack
                 assert (await world.ask("q-1", req_deadline_ms="1000"))[0] >= 500
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -74,6 +74,6 @@
             await sighup(world, tmp_path, ONLY_NEW)
             assert (await world.ask("c", req_kind="inquiry"))[0] == 200
             played(SETTINGS, arrivals(1))
-            assert containers() == before and ("ramppulley.rules", "ramppulley.rules", "ON") in before
+            assert containers() == before and ("ramppulley.rules", "ramppulley.rules", "NOTE_HANDLERS") in before
 
     told()
