--- a/tests/test_client_gone_everywhere.py
+++ b/tests/test_client_gone_everywhere.py
@@ -54,12 +54,12 @@
 def suspect_all(module):
     """Makes all workers suspect, so that requests wait in the queue; returns a function that ends this."""
     for worker in module.workers.values():
-        worker.doubt("unreachable", True)
+        worker.mark_suspect("unreachable", True)
         worker.half_open_at += 60 * S  # no half-open probe before that
 
     def end(clock):
         for worker in module.workers.values():
-            worker.trust()
+            worker.mark_responsive()
         module.tell(clock.now(), (module.admission, "serve"))
 
     return end
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -74,6 +74,6 @@
             await sighup(world, tmp_path, OTHER_CLASSES)
             assert (await world.ask("c", req_kind="inquiry"))[0] == 200
             simulate(SETTINGS, request_plan(1))
-            assert containers() == before and ("ramppulley.rules", "ramppulley.rules", "ON") in before
+            assert containers() == before and ("ramppulley.rules", "ramppulley.rules", "NOTE_HANDLERS") in before
 
     scenario()
