--- a/ramppulley/engines/platform/releases.py
+++ b/ramppulley/engines/platform/releases.py
@@ -179,7 +179,7 @@
         confirmed = await self.run(tracked.request.name, delay_s)
         repeated = self.unconfirmed.get(tracked)
         if not confirmed and repeated is None:
-            self.log.warning("no worker confirmed the release of KV state", question=tracked.request.name)
+            self.log.warning("nobody took the release of what is held", question=tracked.request.name)
             self.repeat_release(tracked, None)
         elif confirmed and repeated is not None and repeated.endpoint is None:
             self._confirm(tracked)
--- a/tests/test_race_handover.py
+++ b/tests/test_race_handover.py
@@ -326,7 +326,7 @@
 
         reader.scripts.append(prefill_and_go_silent)
         assert (await world.ask("q-1", req_deadline_ms="700"))[0] == 503
-        await world.until(lambda: "no worker confirmed the release" in world.lines.text)
+        await world.until(lambda: "nobody took the release" in world.lines.text)
         engines = world.node.engines
         await world.until(
             lambda: not engines.releases.running and not engines.releases.pending and not world.node.core.requests
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -54,7 +54,7 @@
             worker.takes = 5.0
         world.yard.add("q-1")
         world.node.engines.release(tracked, None, "q-1")
-        await world.until(lambda: "no worker confirmed the release" in world.lines.text)
+        await world.until(lambda: "nobody took the release" in world.lines.text)
         for worker in world.workers:
             worker.takes = 0.0
         await world.until(lambda: not world.yard, RELEASE_S + 0.3)
--- a/tests/test_settings_module.py
+++ b/tests/test_settings_module.py
@@ -53,7 +53,7 @@
 
 
 def limit(host, request):
-    """The admission admission_limit of this request: the maximum expected time, at a prefill worker without samples."""
+    """The admission limit of this request: the maximum expected time, at a prefill worker without samples."""
     return host.router.admission.admission_limit(request, host.router.roster.prefill_workers[-1])
 
 
