--- a/ramppulley/cluster/__init__.py
+++ b/ramppulley/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Instances that find each other: an option, off by default. `members` is a state machine without socket and clock."""
+"""Cluster of routers, optional and off by default. The modules are state machines that use neither sockets nor the clock."""
--- a/ramppulley/cluster/copies/__init__.py
+++ b/ramppulley/cluster/copies/__init__.py
@@ -1,1 +1,1 @@
-"""What a router holds for others, kept by several routers. Pure: messages, flushes done and ticks go in."""
+"""Values that several routers store as replicas. Does no I/O: the host passes in messages, completed flushes and ticks."""
--- a/ramppulley/cluster/copies/register.py
+++ b/ramppulley/cluster/copies/register.py
@@ -1,14 +1,14 @@
-"""One promise, kept by a few holders: a register that is changed by compare and set, without a log. Pure.
+"""A replicated register, changed by compare-and-set without a log. Does no I/O.
 
-CASPaxos (Rystsov 2018), which is Paxos for one value that may be changed again: a change first has a majority of the holders
-promise to heed no lower ballot, and learns from them the newest value; then it has a majority accept what it makes of that.
-Any router may change a promise, so nobody owns it, nobody has to take it over, and a router that was paused can do no harm:
-its ballot is refused where a later one was seen.
+CASPaxos (Rystsov 2018): Paxos for a single value that may be changed again. A change first has a majority of the acceptors
+promise to reject lower ballots, and learns the newest value from them; then it has a majority accept the value that it
+computes from that. Any router may propose a change, so there is no owner and no take-over, and a router that was suspended
+does no harm: its ballot is rejected where a higher one was seen.
 
-A holder answers only once what it answers lies flushed. After a restart it may have lost what a disk said was flushed, so
-it is *recovering*, key by key: it votes on a key again when a majority that is not recovering, or all others, told it what
-they know of it (Viewstamped Replication revisited, 4.3, and Protocol-aware recovery, FAST 18). A holder with another disk is
-another holder: messages name the identity of its log.
+An acceptor replies only after the state in its reply was flushed. After a restart it may have lost state that the disk
+reported as flushed, so it is *recovering*, key by key: it votes on a key again after a majority that isn't recovering, or
+all other acceptors, sent it their state (Viewstamped Replication Revisited, 4.3, and Protocol-Aware Recovery, FAST 18). An
+acceptor with another disk is another acceptor: messages carry the identity of its log.
 """
 
 from dataclasses import dataclass, field
@@ -18,30 +18,32 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Of two the higher goes first; no two routers make the same one."""
+    """The higher of two ballots takes precedence; no two routers create the same one."""
 
     number: int = 0
     name: str = ""
 
 
-class Known(msgspec.Struct, frozen=True, array_like=True):
-    """What a holder has of a key: the highest ballot it heeds, the value it last accepted, and by which ballot."""
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
+    """State of a key at an acceptor: the highest ballot promised, and the last accepted ballot with its value."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
     value: Any = None
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
-    """`prepare`, `accept` and `tell` to a holder; `promised`, `accepted`, `refused` and `told` back. `to`: the identity of
-    the log that it is for."""
+class Message(msgspec.Struct, frozen=True, array_like=True):
+    """`prepare`, `accept` and `tell` go to an acceptor; `promised`, `accepted`, `refused` and `told` are the replies.
+
+    `to`: the identity of the log that it is addressed to.
+    """
 
     kind: str
     key: str
     ballot: Ballot
-    known: Known = Known()
+    state: AcceptorState = AcceptorState()
     to: str = ""
-    sure: bool = True  # of `told`: not recovering
+    recovered: bool = True  # in `told`: the sender isn't recovering
 
 
 def majority(count):
@@ -52,118 +54,139 @@
     return count // 2 + 1
 
 
-class Holder:
-    """One router's part in keeping promises. `others(key)`: names of the key's other holders.
+class Acceptor:
+    """One router's replica. `others(key)`: {name: log identity} of the key's other acceptors.
 
-    `writes` fills with (ticket, key, Known), which the host makes durable, in order, and then says `flushed(ticket)`; a
-    ticket that it does not name again is never answered. `out` fills with (to, Word).
+    `writes` collects (ticket, key, AcceptorState): the host makes them durable in order and then calls `flushed(ticket)`. A
+    ticket that it never reports is never answered. `out` collects (receiver, Message).
     """
 
-    def __init__(self, identity, others, kept=(), restarted=False):
+    def __init__(self, identity, others, stored=(), restarted=False):
         self.identity, self.others, self.out, self.writes, self.ticket = identity, others, [], [], 0
-        self.known, self.waiting = dict(kept), {}  # ticket -> (to, Word), which is said only once that is flushed
-        self.restarted, self.sure, self.asking = restarted, set(), {}
+        self.states, self.unflushed_replies = dict(stored), {}  # ticket -> (receiver, Message), sent once flushed
+        self.restarted, self.recovered_keys, self.recovery_replies = restarted, set(), {}
 
     def recovering(self, key):
-        return self.restarted and key not in self.sure
-
-    def take(self, who, word):
-        if word.kind == "told":
-            return self._recover(who, word)
-        if word.to != self.identity:
-            return None  # meant for the disk that was here before
-        known = self.known.get(word.key, Known())
-        if word.kind == "tell":
-            self.out.append((who, Word("told", word.key, word.ballot, known, sure=not self.recovering(word.key))))
-        elif self.recovering(word.key):
-            self._ask(word.key)  # it is asked again when we know
-        elif word.kind == "prepare":
-            if word.ballot <= known.promised:
-                self.out.append((who, Word("refused", word.key, word.ballot, known)))
+        return self.restarted and key not in self.recovered_keys
+
+    def take(self, sender, message):
+        if message.kind == "told":
+            return self._recover(sender, message)
+        if message.to != self.identity:
+            return None  # addressed to the disk that this router had before
+        state = self.states.get(message.key, AcceptorState())
+        if message.kind == "tell":
+            self.out.append(
+                (
+                    sender,
+                    Message("told", message.key, message.ballot, state, recovered=not self.recovering(message.key)),
+                )
+            )
+        elif self.recovering(message.key):
+            self._request_states(message.key)  # no reply: the proposer retries after the recovery
+        elif message.kind == "prepare":
+            if message.ballot <= state.promised:
+                self.out.append((sender, Message("refused", message.key, message.ballot, state)))
             else:
-                self._write(word.key, Known(word.ballot, known.accepted, known.value), who, "promised", word.ballot)
-        elif word.kind == "accept":
-            if word.ballot < known.promised:
-                self.out.append((who, Word("refused", word.key, word.ballot, known)))
+                self._write(
+                    message.key,
+                    AcceptorState(message.ballot, state.accepted, state.value),
+                    sender,
+                    "promised",
+                    message.ballot,
+                )
+        elif message.kind == "accept":
+            if message.ballot < state.promised:
+                self.out.append((sender, Message("refused", message.key, message.ballot, state)))
             else:
-                self._write(word.key, Known(word.ballot, word.ballot, word.known.value), who, "accepted", word.ballot)
+                self._write(
+                    message.key,
+                    AcceptorState(message.ballot, message.ballot, message.state.value),
+                    sender,
+                    "accepted",
+                    message.ballot,
+                )
         return None
 
-    def _write(self, key, known, who, kind, ballot):
+    def _write(self, key, state, receiver, kind, ballot):
         self.ticket += 1
-        self.known[key] = known
-        self.writes.append((self.ticket, key, known))
-        self.waiting[self.ticket] = who, Word(kind, key, ballot, known)
+        self.states[key] = state
+        self.writes.append((self.ticket, key, state))
+        self.unflushed_replies[self.ticket] = receiver, Message(kind, key, ballot, state)
 
     def flushed(self, ticket):
-        answer = self.waiting.pop(ticket, None)
-        if answer is not None:
-            self.out.append(answer)
+        reply = self.unflushed_replies.pop(ticket, None)
+        if reply is not None:
+            self.out.append(reply)
 
-    # After a restart
-    def _ask(self, key):
-        self.asking.setdefault(key, {})
+    # Recovery after a restart
+    def _request_states(self, key):
+        self.recovery_replies.setdefault(key, {})
         for other, identity in self.others(key).items():
-            self.out.append((other, Word("tell", key, Ballot(), to=identity)))
+            self.out.append((other, Message("tell", key, Ballot(), to=identity)))
 
-    def _recover(self, who, word):
-        answers, others = self.asking.get(word.key), self.others(word.key)
-        if answers is None or who not in others:
+    def _recover(self, sender, message):
+        replies, others = self.recovery_replies.get(message.key), self.others(message.key)
+        if replies is None or sender not in others:
             return
-        answers[who] = word
-        if sum(one.sure for one in answers.values()) < majority(len(others) + 1) and len(answers) < len(others):
+        replies[sender] = message
+        if sum(reply.recovered for reply in replies.values()) < majority(len(others) + 1) and len(replies) < len(
+            others
+        ):
             return
-        own = self.known.get(word.key, Known())
-        all_known = [own, *(one.known for one in answers.values())]
-        newest = max(all_known, key=lambda one: one.accepted)
-        self.known[word.key] = Known(max(one.promised for one in all_known), newest.accepted, newest.value)
+        own = self.states.get(message.key, AcceptorState())
+        states = [own, *(reply.state for reply in replies.values())]
+        newest = max(states, key=lambda state: state.accepted)
+        self.states[message.key] = AcceptorState(max(state.promised for state in states), newest.accepted, newest.value)
         self.ticket += 1
-        self.writes.append((self.ticket, word.key, self.known[word.key]))
-        self.sure.add(word.key)
-        del self.asking[word.key]
+        self.writes.append((self.ticket, message.key, self.states[message.key]))
+        self.recovered_keys.add(message.key)
+        del self.recovery_replies[message.key]
 
 
 @dataclass
-class Change:
-    """One router's change of a promise: `make(value)` gives the new value. `done` once a majority accepted it; `value` is it
-    then, `before` what it was made of. The host calls `again` after a while without `done`, or gives up: then nothing is
-    known of it."""
+class Proposal:
+    """One router's change of the register: `update(value)` returns the new value.
+
+    `done` is set once a majority accepted it; then `value` is the new value and `before` the one it was computed from. The
+    host calls `start_round` if it isn't done after a while, or gives up: then the outcome is unknown.
+    """
 
     key: str
     name: str
-    holders: dict  # name -> identity of its log
-    make: Any
+    acceptors: dict  # name -> identity of its log
+    update: Any
     round: int = 0
     done: bool = False
     value: Any = None
     before: Any = None
     out: list = field(default_factory=list)
-    answers: dict = field(default_factory=dict)
+    replies: dict = field(default_factory=dict)
     ballot: Ballot = Ballot()
     accepting: bool = False
-    seen: int = 0  # the highest round that a holder refused us for
+    highest_refused_round: int = 0  # highest round promised by an acceptor that rejected ours
 
-    def again(self):
-        """Begins, or begins anew above all ballots seen."""
-        self.round = max(self.round, self.seen) + 1
-        self.ballot, self.answers, self.accepting = Ballot(self.round, self.name), {}, False
-        self._say(Word("prepare", self.key, self.ballot))
+    def start_round(self):
+        """Starts, or starts again with a ballot above all seen so far."""
+        self.round = max(self.round, self.highest_refused_round) + 1
+        self.ballot, self.replies, self.accepting = Ballot(self.round, self.name), {}, False
+        self._broadcast(Message("prepare", self.key, self.ballot))
 
-    def _say(self, word):
-        self.out += [(name, msgspec.structs.replace(word, to=identity)) for name, identity in self.holders.items()]
+    def _broadcast(self, message):
+        self.out += [(name, msgspec.structs.replace(message, to=identity)) for name, identity in self.acceptors.items()]
 
-    def take(self, who, word):
-        if word.kind == "refused":
-            self.seen = max(self.seen, word.known.promised.number)
-        if self.done or word.key != self.key or word.ballot != self.ballot or who not in self.holders:
+    def take(self, sender, message):
+        if message.kind == "refused":
+            self.highest_refused_round = max(self.highest_refused_round, message.state.promised.number)
+        if self.done or message.key != self.key or message.ballot != self.ballot or sender not in self.acceptors:
             return
-        if word.kind == "promised" and not self.accepting:
-            self.answers[who] = word.known
-            if len(self.answers) >= majority(len(self.holders)):
-                newest = max(self.answers.values(), key=lambda known: known.accepted)
-                self.before, self.value = newest.value, self.make(newest.value)
-                self.accepting, self.answers = True, {}
-                self._say(Word("accept", self.key, self.ballot, Known(value=self.value)))
-        elif word.kind == "accepted" and self.accepting:
-            self.answers[who] = word.known
-            self.done = len(self.answers) >= majority(len(self.holders))
+        if message.kind == "promised" and not self.accepting:
+            self.replies[sender] = message.state
+            if len(self.replies) >= majority(len(self.acceptors)):
+                newest = max(self.replies.values(), key=lambda state: state.accepted)
+                self.before, self.value = newest.value, self.update(newest.value)
+                self.accepting, self.replies = True, {}
+                self._broadcast(Message("accept", self.key, self.ballot, AcceptorState(value=self.value)))
+        elif message.kind == "accepted" and self.accepting:
+            self.replies[sender] = message.state
+            self.done = len(self.replies) >= majority(len(self.acceptors))
--- a/ramppulley/cluster/counters.py
+++ b/ramppulley/cluster/counters.py
@@ -1,10 +1,10 @@
-"""What the membership protocol counts; the values are label values of a metric."""
+"""Events counted by the membership protocol; the values are label values of a metric."""
 
 from enum import StrEnum
 
 
 class Occurrence(StrEnum):
-    """Something that is counted and has no other effect on the host."""
+    """An event that is counted and has no other effect on the host."""
 
     UNREADABLE = "unreadable"
     OWN_NAME = "own name"
--- a/ramppulley/cluster/failure_detector.py
+++ b/ramppulley/cluster/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: a direct probe, then indirect ones through others, who also say no in time (Lifeguard)."""
+"""SWIM's failure detector: a direct probe, then indirect probes through helpers, with Lifeguard's nacks."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,38 +11,38 @@
 from ramppulley.cluster.packet_sender import PacketSender
 from ramppulley.cluster.words import Address, Packet
 
-RELAYED_PROBES_MAX = 64  # pings for others that are under way at once
-NUMBER_BITS = 32  # of the first probe's number
+RELAYED_PROBES_MAX = 64  # concurrent pings on behalf of others
+NUMBER_BITS = 32  # size of the random number of the first probe
 
 
 @dataclass
 class Probe:
-    """The probe under way."""
+    """The probe in progress."""
 
     target: str
     number: int
-    incarnation: int  # of the target when it was sent
-    indirect_at: int | None  # when others are asked, None once they were
+    incarnation: int  # of the target when the probe was sent
+    indirect_at: int | None  # when helpers are asked; None once they were
     ends_at: int
-    helpers: int = 0  # others that were asked
-    nacks: int = 0  # of theirs
+    helpers: int = 0  # number of helpers asked
+    nacks: int = 0  # received from helpers
 
     def due(self) -> int:
-        """When something is to be done about it next."""
+        """Time of its next step."""
         return self.ends_at if self.indirect_at is None else self.indirect_at
 
 
 @dataclass(frozen=True)
 class RelayedProbe:
-    """A ping that we sent for another instance, the requester."""
+    """A ping sent on behalf of another instance, the requester."""
 
     requester: Address
-    number: int  # by the requester's count
+    number: int  # the requester's probe number
     ends_at: int
 
 
 class FailureDetector:
-    """Probes one member in each interval. `suspect(now, member)` is called with one that did not answer."""
+    """Probes one member per interval. `suspect(now, member)` is called for a member that did not answer."""
 
     def __init__(
         self,
@@ -65,17 +65,17 @@
         self.number = table.rng.getrandbits(NUMBER_BITS)
         self.next_probe_at = now
         self.probe: Probe | None = None
-        self.relayed: dict[int, RelayedProbe] = {}  # by our number
+        self.relayed: dict[int, RelayedProbe] = {}  # by our probe number
 
     def due(self) -> int:
-        """When `tick` is wanted next."""
+        """When `tick` has to be called next."""
         times = [self.next_probe_at, *(relayed.ends_at for relayed in self.relayed.values())]
         if self.probe is not None:
             times.append(self.probe.due())
         return min(times)
 
     def tick(self, now: int) -> None:
-        """What the clock says about probes."""
+        """Ends the probes whose time is over, and starts the next one."""
         self._end_relayed(now)
         if self.probe is not None:
             self._probe_indirectly(now, self.probe)
@@ -84,7 +84,7 @@
             self._begin(now)
 
     def _end_relayed(self, now: int) -> None:
-        """Lifeguard: a nack in time tells the requester that we are there and were asked."""
+        """Lifeguard: a timely nack tells the requester that we are alive and received its request."""
         for number in [number for number, relayed in self.relayed.items() if now >= relayed.ends_at]:
             relayed = self.relayed.pop(number)
             self.sender.send(now, "nack", relayed.requester, relayed.number)
@@ -112,30 +112,30 @@
         if now < probe.ends_at:
             return
         self.probe = None
-        self.health.degrade(1 + max(0, probe.helpers - probe.nacks))  # nobody said even no: it may be us
+        self.health.degrade(1 + max(0, probe.helpers - probe.nacks))  # missing nacks suggest that we are slow ourselves
         member = self.table.get(probe.target)
         if member is not None and member.state == "alive" and member.incarnation <= probe.incarnation:
             self.count[Occurrence.PROBE_FAILED] += 1
             self.suspect(now, member)
 
     def on_ping(self, now: int, address: Address, packet: Packet) -> None:
-        """Answered, if it was meant for us and not for one that had this address before."""
-        if packet.about == self.name:
+        """Answers a ping, unless it is for an instance that had this address before."""
+        if packet.target == self.name:
             self.sender.send(now, "ack", address, packet.number, first=packet.sender)
 
     def on_indirect_probe(self, now: int, address: Address, packet: Packet) -> None:
-        """Another one asks us to ping a third."""
-        target = self.table.get(packet.about)
+        """Pings a third instance on behalf of the requester."""
+        target = self.table.get(packet.target)
         if target is None or len(self.relayed) >= RELAYED_PROBES_MAX:
             self.sender.send(now, "nack", address, packet.number)
             return
         self.number += 1
-        ends_at = now + self.config.probe_timeout * 4 // 5  # before the requester's own time is over
+        ends_at = now + self.config.probe_timeout * 4 // 5  # before the requester's probe times out
         self.relayed[self.number] = RelayedProbe(address, packet.number, ends_at)
         self.sender.send(now, "ping", target.address, self.number, target.name, first=target.name)
 
     def on_ack(self, now: int, address: Address, packet: Packet) -> None:
-        """One that we pinged is there, for us or for a requester."""
+        """Ends our own probe, or passes the ack on to the requester of a relayed one."""
         relayed = self.relayed.pop(packet.number, None)
         if relayed is not None:
             self.sender.send(now, "ack", relayed.requester, relayed.number)
@@ -144,6 +144,6 @@
             self.health.improve()
 
     def on_nack(self, now: int, address: Address, packet: Packet) -> None:
-        """A helper is there, but had no answer yet."""
+        """Counts a helper that is alive but got no ack in time."""
         if self.probe is not None and packet.number == self.probe.number:
             self.probe.nacks += 1
--- a/ramppulley/cluster/local_member.py
+++ b/ramppulley/cluster/local_member.py
@@ -1,4 +1,4 @@
-"""What this instance says of itself: its incarnation and coarse traffic; its own health (Lifeguard)."""
+"""This instance's own state: its identity, incarnation, announced traffic and local health (Lifeguard)."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """What does not change while the instance runs."""
+    """Attributes that stay constant while the instance runs."""
 
     name: str
     address: Address
@@ -16,7 +16,7 @@
 
 
 class LocalHealth:
-    """Lifeguard's local health multiplier: the higher the score, the slower we may be ourselves.
+    """Lifeguard's local health multiplier: a higher score means that this instance may be slow.
 
     >>> health = LocalHealth(8)
     >>> health.degrade(3)
@@ -30,24 +30,24 @@
         self.score = 0
 
     def degrade(self, by: int = 1) -> None:
-        """Something says that we may be slow."""
+        """Notes a sign that this instance is slow."""
         self.score = min(self.maximum, self.score + by)
 
     def improve(self) -> None:
-        """Something says that we are not."""
+        """Notes a sign that it is not."""
         self.score = max(0, self.score - 1)
 
     def multiplier(self) -> int:
-        """By how much probes are slowed."""
+        """Factor for the probe interval and timeout."""
         return 1 + self.score
 
 
 class LocalMember:
-    """This instance as others are told of it.
+    """This instance as announced to the others.
 
-    `incarnation_limit` bounds the incarnations that a restart will not use again; the host raises it when that is durable.
-    Until `silent_until` it says nothing of itself, and asks what others remember of it: what it kept over a restart may be
-    lost, or old. Its incarnation is 0 till then.
+    Incarnations up to `incarnation_limit` are durably reserved: no restart uses them again. The host raises the limit.
+    Until `silent_until` the instance does not announce itself, and asks the others for its last known incarnation, as its
+    own snapshot may be lost or outdated. Its incarnation is 0 until then.
     """
 
     def __init__(self, identity: Identity, incarnation: int, incarnation_limit: int, silent_until: int) -> None:
@@ -56,23 +56,23 @@
         self.incarnation = 0 if silent_until else incarnation
         self.incarnation_limit = incarnation_limit
         self.silent_until = silent_until
-        self.highest_heard = 0  # incarnation that others told of us
-        self.remembered = False  # one that remembers us answered
+        self.highest_observed = 0  # highest incarnation of ours that others reported
+        self.known_to_peers = False  # an instance that knows us has answered
         self.traffic = 0
         self.left = False
 
     @property
     def name(self) -> str:
-        """Its name in the cluster."""
+        """Name of this instance in the cluster."""
         return self.identity.name
 
     @property
     def silent(self) -> bool:
-        """Whether it says nothing of itself yet."""
+        """Whether it does not announce itself yet."""
         return bool(self.silent_until)
 
     def update(self, state: State = "alive") -> MemberUpdate:
-        """What others are told of it."""
+        """The update that announces it."""
         identity = self.identity
         return MemberUpdate(
             identity.name,
@@ -87,19 +87,19 @@
         )
 
     def change_traffic(self, traffic: int) -> bool:
-        """Its own traffic is another, by a new incarnation; False where none may be used, or nothing changed."""
+        """Sets its traffic under a new incarnation; False if none is available, or nothing changed."""
         if traffic == self.traffic or self.incarnation >= self.incarnation_limit or self.silent:
             return False
         self.traffic = traffic
         self.incarnation += 1
         return True
 
-    def hear(self, incarnation: int) -> None:
-        """Others know this incarnation of it."""
-        self.highest_heard = max(self.highest_heard, incarnation)
+    def observe_incarnation(self, incarnation: int) -> None:
+        """Notes an incarnation of ours that another instance reported."""
+        self.highest_observed = max(self.highest_observed, incarnation)
 
     def refute(self, update: MemberUpdate) -> bool:
-        """Takes a higher incarnation than that of an update that says it were not there; whether it did."""
+        """Raises its incarnation above that of an update that calls it suspect, dead or left; whether it did."""
         if self.silent or self.left:
             return False
         if update.state == "alive" and update.incarnation <= self.incarnation:
@@ -110,11 +110,11 @@
         return True
 
     def end_silence(self, now: int, retry_after: int) -> bool:
-        """From here on others are told of it, by an incarnation above all that they remember.
+        """Starts to announce itself, under an incarnation above all that others know.
 
-        False where the host must first make durable that this one may be used: then it is tried again.
+        False if the host has to reserve that incarnation durably first: then it is tried again after `retry_after`.
         """
-        incarnation = max(self.first_incarnation, self.highest_heard + 1)
+        incarnation = max(self.first_incarnation, self.highest_observed + 1)
         if incarnation >= self.incarnation_limit:
             self.silent_until = now + retry_after
             return False
@@ -123,6 +123,6 @@
         return True
 
     def leave(self) -> MemberUpdate:
-        """Its goodbye; the caller marks it as left once that was sent."""
+        """The update that announces its leaving; the caller sets `left` once it was sent."""
         self.incarnation += 1
         return self.update("left")
--- a/ramppulley/cluster/members.py
+++ b/ramppulley/cluster/members.py
@@ -1,7 +1,7 @@
-"""Who is there: SWIM with Lifeguard, without socket and clock. Takes datagrams and ticks, returns datagrams and events.
+"""Group membership: SWIM with Lifeguard as a state machine that uses neither sockets nor the clock.
 
-`take`, `tick`, `join` and `leave` fill `out` with packets and `events` with state changes; the host empties both.
-Times are whole tenths of a millisecond on any clock that moves forward; all draws come from one random source.
+`take`, `tick`, `join` and `leave` append packets to `out` and state changes to `events`; the host empties both.
+Times are integers in tenths of a millisecond on any monotonic clock; all randomness comes from one random source.
 Sources: SWIM, sections 3 and 4; Lifeguard, section IV (LHA probe, LHA suspicion, buddy system).
 """
 
@@ -18,18 +18,18 @@
 from ramppulley.cluster.packet_sender import OutgoingPacket, PacketSender
 from ramppulley.cluster.rng import RandomSource
 from ramppulley.cluster.view_sync import ViewSync
-from ramppulley.cluster.words import Address, MemberUpdate, Packet, PacketKind, Unreadable, read
+from ramppulley.cluster.words import Address, InvalidPacket, MemberUpdate, Packet, PacketKind, decode_packet
 
-INCARNATION_LIMIT = 1 << 47  # where the host sets none
+INCARNATION_LIMIT = 1 << 47  # default limit
 
 PacketHandler = Callable[[int, Address, Packet], None]
 
 
 class Members:
-    """One instance's part of the protocol.
+    """One instance of the membership protocol.
 
-    `incarnation` is the first that it may use, `incarnation_limit` bounds them. With `silence` it says nothing of itself
-    for so long at most, till one that remembers it answered.
+    `incarnation` is the first that it may use, `incarnation_limit` the last. With `silence` it does not announce
+    itself until an instance that knows it has answered, but for no longer than that time.
     """
 
     def __init__(
@@ -62,11 +62,11 @@
             "nack": self.detector.on_nack,
             "sync": self.sync.on_sync,
             "view": self.sync.on_view,
-        }  # the other kinds say nothing but their updates
+        }  # the other kinds carry only updates
         if not self.local.silent:
             self.broadcasts.put(self.local.update())
 
-    # What the host reads
+    # Read by the host
     @property
     def out(self) -> list[OutgoingPacket]:
         """Datagrams to send."""
@@ -74,52 +74,52 @@
 
     @property
     def events(self) -> list[StateChange]:
-        """Members whose state changed."""
+        """State changes of other members."""
         return self.view.events
 
     @property
     def members(self) -> dict[str, Member]:
-        """The other instances by name, ended ones too."""
+        """The other instances by name, including ended ones."""
         return self.table.members
 
     @property
     def incarnation(self) -> int:
-        """Our own; 0 while we say nothing of ourselves."""
+        """Our own incarnation; 0 while we do not announce ourselves."""
         return self.local.incarnation
 
     @property
     def heard_of_self(self) -> int:
-        """The highest incarnation that others told of us."""
-        return self.local.highest_heard
+        """The highest incarnation of ours that others reported."""
+        return self.local.highest_observed
 
     @property
     def health(self) -> int:
-        """How slow we seem to be ourselves, from 0 (Lifeguard)."""
+        """Local health score (Lifeguard): 0 is healthy, a higher score means that we may be slow."""
         return self.local_health.score
 
     def alive(self) -> list[str]:
-        """Names that are to be counted on: not dead, not gone; suspected ones too."""
+        """Names of the members that are neither dead nor have left, including suspects."""
         return self.table.present_names()
 
-    # What the host tells
+    # Called by the host
     def join(self, now: int, seeds: list[Address]) -> None:
-        """Greets instances at these addresses; greeted again with each exchange until one answers."""
+        """Contacts the instances at these addresses, again with each exchange until one answers."""
         self.sync.join(now, seeds)
 
     def leave(self, now: int) -> None:
-        """Says goodbye to some, who spread it; nothing is sent after it."""
+        """Announces to a few members that we leave, and they spread it; nothing is sent afterwards."""
         self.broadcasts.put(self.local.leave())
         for member in self.table.sample(self.config.indirect_probes):
             self.sender.send(now, "leave", member.address)
         self.local.left = True
 
     def told_traffic(self, traffic: int) -> None:
-        """Our own traffic, coarsely; told to all by a new incarnation where that may be used."""
+        """Sets our traffic level, announced under a new incarnation if one is available."""
         if self.local.change_traffic(traffic):
             self.broadcasts.put(self.local.update())
 
     def due(self) -> int:
-        """When `tick` is wanted next."""
+        """When `tick` has to be called next."""
         times = [self.detector.due(), self.sync.next_at]
         times += [member.suspected_until for member in self.table.suspects()]
         if self.broadcasts.queued:
@@ -129,10 +129,10 @@
         return min(times)
 
     def tick(self, now: int) -> None:
-        """What the clock says."""
+        """Runs everything that is due."""
         if self.local.left:
             return
-        if self.local.silent and (self.local.remembered or now >= self.local.silent_until):
+        if self.local.silent and (self.local.known_to_peers or now >= self.local.silent_until):
             self._end_silence(now)
         self.detector.tick(now)
         self._end_suspicions(now)
@@ -140,25 +140,25 @@
         self._gossip(now)
         self.sync.tick(now)
 
-    def take(self, now: int, address: Address, data: bytes, head: object = None) -> None:
-        """One datagram from an address; what is unreadable is counted and changes nothing."""
+    def take(self, now: int, address: Address, data: bytes, header: object = None) -> None:
+        """Handles one datagram from an address; an unreadable one is counted and has no other effect."""
         if self.local.left:
             return
         try:
-            packet = read(data)
-        except Unreadable:
+            packet = decode_packet(data)
+        except InvalidPacket:
             self.count[Occurrence.UNREADABLE] += 1
             return
         if packet.sender == self.local.name:
-            self.count[Occurrence.OWN_NAME] += 1  # two instances with one name, or our own words come back
+            self.count[Occurrence.OWN_NAME] += 1  # another instance uses our name, or our own packet was sent back
             return
         for update in packet.updates:
-            self._hear(now, update)
+            self._apply_update(now, update)
         handler = self.handlers.get(packet.kind)
         if handler is not None:
             handler(now, address, packet)
 
-    # Steps of those
+    # Steps of `tick` and `take`
     def _end_silence(self, now: int) -> None:
         if self.local.end_silence(now, self.config.probe_timeout):
             self.broadcasts.put(self.local.update())
@@ -166,10 +166,10 @@
 
     def _end_suspicions(self, now: int) -> None:
         for member in [suspect for suspect in self.table.suspects() if now >= suspect.suspected_until]:
-            self._hear(now, member.update(self.local.name, "dead"))
+            self._apply_update(now, member.update(self.local.name, "dead"))
 
     def _suspect(self, now: int, member: Member) -> None:
-        self._hear(now, member.update(self.local.name, "suspect"))
+        self._apply_update(now, member.update(self.local.name, "suspect"))
 
     def _gossip(self, now: int) -> None:
         if now < self.next_gossip_at or not self.broadcasts.queued:
@@ -178,17 +178,17 @@
         for member in self.table.sample(self.config.gossip_targets, with_suspects=True):
             self.sender.send(now, "tell", member.address, first=member.name)
 
-    def _hear(self, now: int, update: MemberUpdate) -> None:
+    def _apply_update(self, now: int, update: MemberUpdate) -> None:
         if update.name == self.local.name:
-            self._hear_of_self(update)
+            self._apply_own_update(update)
         else:
             self.view.apply(now, update)
 
-    def _hear_of_self(self, update: MemberUpdate) -> None:
-        self.local.hear(update.incarnation)
+    def _apply_own_update(self, update: MemberUpdate) -> None:
+        self.local.observe_incarnation(update.incarnation)
         if self.local.refute(update):
             self.count[Occurrence.REFUTED] += 1
-            self.local_health.degrade()  # Lifeguard: to be suspected says that we may be slow
+            self.local_health.degrade()  # Lifeguard: being suspected is a sign that we are slow
             self.broadcasts.put(self.local.update())
 
 
--- a/ramppulley/cluster/packet_sender.py
+++ b/ramppulley/cluster/packet_sender.py
@@ -1,4 +1,4 @@
-"""Packets out: filled with the updates that need it most, and bounded by a token bucket."""
+"""Sends packets: fills them with queued updates by priority, and limits their rate by a token bucket."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 from ramppulley.cluster.counters import Occurrence
 from ramppulley.cluster.member_table import MemberTable
 from ramppulley.cluster.token_bucket import TokenBucket
-from ramppulley.cluster.words import VERSION, Address, MemberUpdate, Packet, PacketKind, sized
+from ramppulley.cluster.words import VERSION, Address, MemberUpdate, Packet, PacketKind, encode_with_updates
 
 
 class OutgoingPacket(NamedTuple):
@@ -21,7 +21,7 @@
 
 
 class PacketSender:
-    """Fills `out`, which the host empties."""
+    """Appends packets to `out`, which the host empties."""
 
     def __init__(
         self, name: str, config: ProtocolConfig, table: MemberTable, broadcasts: BroadcastQueue, count: Counter[str]
@@ -35,31 +35,31 @@
         self.out: list[OutgoingPacket] = []
 
     def send(
-        self, now: int, kind: PacketKind, address: Address, number: int = 0, about: str = "", first: str = ""
+        self, now: int, kind: PacketKind, address: Address, number: int = 0, target: str = "", first: str = ""
     ) -> bool:
-        """A packet with queued updates, those of the instance `first` before others; whether the budget let it go."""
-        broadcasts = self._chosen(first)
-        packet = Packet(VERSION, kind, self.name, number, about, [])
-        data, taken = sized(packet, [broadcast.update for broadcast in broadcasts])
-        if not self._post(now, address, data):
+        """Sends a packet with queued updates, those about `first` before others; False if over the rate limit."""
+        broadcasts = self._select_broadcasts(first)
+        packet = Packet(VERSION, kind, self.name, number, target, [])
+        data, taken = encode_with_updates(packet, [broadcast.update for broadcast in broadcasts])
+        if not self._enqueue(now, address, data):
             return False
         limit = self.retransmit_multiplier * ceil(log10(self.table.size() + 1))
         self.broadcasts.transmitted(broadcasts[:taken], limit)
         return True
 
     def send_updates(self, now: int, kind: PacketKind, address: Address, updates: Sequence[MemberUpdate]) -> None:
-        """A packet with as many of these updates as fit, in their order."""
-        self._post(now, address, sized(Packet(VERSION, kind, self.name, 0, "", []), updates)[0])
+        """Sends a packet with as many of these updates, in order, as fit."""
+        self._enqueue(now, address, encode_with_updates(Packet(VERSION, kind, self.name, 0, "", []), updates)[0])
 
-    def _chosen(self, first: str) -> list[Broadcast]:
-        """Lifeguard's buddy system: a suspect hears of its suspicion from us, also where that was told often enough."""
+    def _select_broadcasts(self, first: str) -> list[Broadcast]:
+        """Lifeguard's buddy system: a suspect is always told of its suspicion, even after the transmission limit."""
         broadcasts = self.broadcasts.by_priority(first)
         member = self.table.get(first)
         if member is not None and member.state == "suspect" and first not in self.broadcasts.queued:
             broadcasts.insert(0, Broadcast(member.update(self.name), 0))
         return broadcasts
 
-    def _post(self, now: int, address: Address, data: bytes) -> bool:
+    def _enqueue(self, now: int, address: Address, data: bytes) -> bool:
         if not self.budget.take(now):
             self.count[Occurrence.OVER_BUDGET] += 1
             return False
--- a/ramppulley/cluster/rng.py
+++ b/ramppulley/cluster/rng.py
@@ -1,4 +1,4 @@
-"""The interface of a random source: `random.Random` and `SystemRandom` have it; pure modules import neither."""
+"""Interface of the random source, implemented by `random.Random` and `SystemRandom`; the state machines import neither."""
 
 from collections.abc import MutableSequence, Sequence
 from typing import Any, Protocol, TypeVar
@@ -7,22 +7,22 @@
 
 
 class RandomSource(Protocol):
-    """What the machines of the cluster draw from; the host gives it, seeded in tests."""
+    """Random source of the state machines, passed in by the host; seeded in tests."""
 
     def random(self) -> float:
-        """A number from 0 up to 1."""
+        """A float from 0 up to, not including, 1."""
 
     def getrandbits(self, k: int, /) -> int:
-        """A whole number of `k` bits."""
+        """An integer with `k` random bits."""
 
     def randrange(self, stop: int, /) -> int:
-        """A whole number from 0 up to `stop`."""
+        """An integer from 0 up to, not including, `stop`."""
 
     def shuffle(self, x: MutableSequence[Any], /) -> None:
-        """Reorders a list in place."""
+        """Shuffles a list in place."""
 
     def sample(self, population: Sequence[Item], k: int, /) -> list[Item]:
-        """`k` different items."""
+        """`k` distinct items."""
 
     def choice(self, seq: Sequence[Item], /) -> Item:
         """One item."""
--- a/ramppulley/cluster/seal.py
+++ b/ramppulley/cluster/seal.py
@@ -1,8 +1,9 @@
-"""What makes a datagram one of our cluster's: who sent it, which one of its it is, and a tag by the cluster's one key. Pure.
+"""Authenticated datagram framing: sender, sequence number and a MAC under the cluster's shared key. Does no I/O.
 
-A datagram is a head (MessagePack), its payload, and a keyed BLAKE2b tag (RFC 7693) over all. The tag is looked at first, so
-what is forged costs one hash of a bounded text. Each life of a router numbers its datagrams; a window as in RFC 6479 passes
-each number once. All routers hold the one key: the tag keeps strangers out, not a member that lies about another.
+A datagram is a header (MessagePack), its payload, and a keyed BLAKE2b tag (RFC 7693) over both. The tag is verified first,
+so a forged datagram costs one hash over a bounded number of bytes. Each run of a router numbers its datagrams; a replay
+window as in RFC 6479 accepts each number once. All routers share one key: the tag keeps outsiders out, but doesn't stop a
+member from lying about another member.
 """
 
 from collections import Counter, OrderedDict
@@ -13,16 +14,16 @@
 import msgspec
 
 from ramppulley.cluster.rng import RandomSource
-from ramppulley.cluster.words import SAFE_SIZE
+from ramppulley.cluster.words import MAX_PAYLOAD_SIZE
 
 VERSION = 1
-TAG, MARK = 16, b"RP"
-MOST = 1_400  # bytes of a datagram with head and tag: under the Ethernet's
-KEY_LEAST, KEY_MOST = 16, 64  # bytes of a key
-LIFE_BITS = 62
-WINDOW = 1 << 10  # numbers behind the newest that may still come
-SENDERS = 1_024  # remembered; the one unheard for longest goes first
-RETURNS = 2  # times that a life came back after another one of its name: they run at once
+TAG, MAGIC = 16, b"RP"
+MOST = 1_400  # maximum datagram size in bytes, with header and tag: below the Ethernet MTU
+KEY_LEAST, KEY_MOST = 16, 64  # minimum and maximum key size in bytes
+RUN_ID_BITS = 62
+REPLAY_WINDOW = 1 << 10  # sequence numbers behind the newest that are still accepted
+MAX_SENDERS = 1_024  # sender names tracked; the least recently heard is evicted first
+MIN_ALTERNATIONS = 2  # an older run that resumes this often runs at the same time as the newer one
 
 CAUSES = (
     "too long",
@@ -38,55 +39,55 @@
 )
 
 
-class Head(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """Who says it. `life`: drawn at each start, so that two processes of one name are told apart."""
+class Header(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """Header of a datagram. `life`: random ID of the sender's run, so that two processes with one name are told apart."""
 
     cluster: str
     sender: str
     life: int
     incarnation: int
     number: int
-    kind: str  # whose word it is: "members", or one of later machines'
+    kind: str  # the state machine it is for: "members", "signals" ...
 
 
 class Unfit(ValueError):
-    """A datagram that changes nothing; its text is one of CAUSES."""
+    """A datagram that is rejected without effect; the message is one of CAUSES."""
 
 
-_decoder, _encoder = msgspec.msgpack.Decoder(Head), msgspec.msgpack.Encoder()
+_decoder, _encoder = msgspec.msgpack.Decoder(Header), msgspec.msgpack.Encoder()
 
 
-class Sender:
-    """What is remembered of one life: the newest number, which of those behind it came, how often it came back."""
+class SenderRun:
+    """Replay window of one run of a sender, and how often the run resumed after another run of the same name."""
 
-    __slots__ = "life", "newest", "came", "returns"
+    __slots__ = "run_id", "newest", "received", "alternations"
 
-    def __init__(self, life: int) -> None:
-        self.life = life
+    def __init__(self, run_id: int) -> None:
+        self.run_id = run_id
         self.newest = -1
-        self.came = 0  # bits: the newest number and WINDOW - 1 behind it
-        self.returns = 0
+        self.received = 0  # bitmap of the newest number and the REPLAY_WINDOW - 1 before it
+        self.alternations = 0
 
-    def fresh(self, number: int) -> bool:
-        """Whether this number comes for the first time.
+    def accept(self, number: int) -> bool:
+        """Records a sequence number; False if it was received before or is older than the window.
 
-        >>> sender = Sender(1)
-        >>> [sender.fresh(n) for n in (5, 5, 4, 2000, 4, 1999)]
+        >>> run = SenderRun(1)
+        >>> [run.accept(n) for n in (5, 5, 4, 2000, 4, 1999)]
         [True, False, True, True, False, True]
         """
         if number > self.newest:
-            self.came = (self.came << min(number - self.newest, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.received = (self.received << min(number - self.newest, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.newest = number
             return True
         behind = self.newest - number
-        if behind >= WINDOW or self.came >> behind & 1:
+        if behind >= REPLAY_WINDOW or self.received >> behind & 1:
             return False
-        self.came |= 1 << behind
+        self.received |= 1 << behind
         return True
 
 
 class Seal:
-    """One router's way to write and read datagrams. `rng` draws its life; `incarnation` is read where it stands."""
+    """Encodes and verifies one router's datagrams. `rng` draws its run ID; `incarnation()` is called for each datagram."""
 
     def __init__(
         self,
@@ -97,103 +98,106 @@
         incarnation: Callable[[], int] = lambda: 0,
     ) -> None:
         if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise ValueError(f"a key of {len(key)} bytes; {KEY_LEAST} to {KEY_MOST} are needed")
+            raise ValueError(f"cluster key has {len(key)} bytes; it must have {KEY_LEAST} to {KEY_MOST}")
         self.cluster = cluster
         self.name = name
         self.incarnation = incarnation
-        self.life = rng.getrandbits(LIFE_BITS)
+        self.run_id = rng.getrandbits(RUN_ID_BITS)
         self.number = 0
         self.hash = blake2b(key=key, digest_size=TAG)
-        self.senders: OrderedDict[str, list[Sender]] = OrderedDict()  # lives of each name, the newest last
-        self.namesakes = 0  # datagrams of other lives of our own name
-        self.count: Counter[str] = Counter()  # by cause
-        self.twice: list[str] = []  # names that two routers have; the host empties it
+        self.senders: OrderedDict[str, list[SenderRun]] = OrderedDict()  # runs of each name, the latest last
+        self.own_name_count = 0  # datagrams from other runs under our own name
+        self.count: Counter[str] = Counter()  # rejected datagrams by cause
+        self.twice: list[str] = []  # names used by two routers at once; emptied by the host
 
     def _tag(self, raw: bytes) -> bytes:
-        one = self.hash.copy()
-        one.update(raw)
-        return one.digest()
+        digest = self.hash.copy()
+        digest.update(raw)
+        return digest.digest()
 
     def seal(self, kind: str, payload: bytes) -> bytes:
-        """The datagram of a payload. Raises ValueError for a payload over the size that is sent."""
-        if len(payload) > SAFE_SIZE:
-            raise ValueError(f"a payload of {len(payload)} bytes")
+        """The datagram for a payload. Raises ValueError if the payload is too large."""
+        if len(payload) > MAX_PAYLOAD_SIZE:
+            raise ValueError(f"payload of {len(payload)} bytes exceeds the maximum of {MAX_PAYLOAD_SIZE}")
         self.number += 1
-        head = _encoder.encode(Head(self.cluster, self.name, self.life, self.incarnation(), self.number, kind))
-        raw = MARK + bytes([VERSION, len(head)]) + head + payload
+        header = _encoder.encode(Header(self.cluster, self.name, self.run_id, self.incarnation(), self.number, kind))
+        raw = MAGIC + bytes([VERSION, len(header)]) + header + payload
         return raw + self._tag(raw)
 
-    def open(self, data: bytes) -> tuple[Head, bytes]:
-        """(head, payload); raises Unfit, and counts its cause."""
+    def open(self, data: bytes) -> tuple[Header, bytes]:
+        """Verifies a datagram and returns (header, payload); raises Unfit and counts its cause."""
         try:
             return self._open(data)
         except Unfit as fault:
             self.count[str(fault)] += 1
             raise
 
-    def _open(self, data: bytes) -> tuple[Head, bytes]:
+    def _open(self, data: bytes) -> tuple[Header, bytes]:
         if len(data) > MOST:
             raise Unfit("too long")
-        if len(data) < len(MARK) + 2 + TAG:
+        if len(data) < len(MAGIC) + 2 + TAG:
             raise Unfit("too short")
-        if data[:2] != MARK:
+        if data[:2] != MAGIC:
             raise Unfit("not ours")
         if data[2] != VERSION:
             raise Unfit("other version")
         raw, tag = data[:-TAG], data[-TAG:]
         if not compare_digest(self._tag(raw), tag):
             raise Unfit("forged")
-        head, payload = self._parts(raw[3:])
-        if head.cluster != self.cluster:
+        header, payload = self._split(raw[3:])
+        if header.cluster != self.cluster:
             raise Unfit("other cluster")
-        if head.life == self.life:
-            raise Unfit("own")  # our own words come back
-        self._numbered(head)
-        if head.sender == self.name:
-            self.namesakes += 1  # one may be of a life of ours before this one, still under way
-            if self.namesakes % RETURNS == 0:
-                self.twice.append(head.sender)
+        if header.life == self.run_id:
+            raise Unfit("own")  # our own datagram was sent back to us
+        self._check_sequence(header)
+        if header.sender == self.name:
+            self.own_name_count += 1  # a single one may be a late datagram from our previous run
+            if self.own_name_count % MIN_ALTERNATIONS == 0:
+                self.twice.append(header.sender)
             raise Unfit("own name")
-        return head, payload
+        return header, payload
 
-    def _parts(self, raw: bytes) -> tuple[Head, bytes]:
+    def _split(self, raw: bytes) -> tuple[Header, bytes]:
         try:
-            head = _decoder.decode(raw[1 : 1 + raw[0]])
+            header = _decoder.decode(raw[1 : 1 + raw[0]])
         except (msgspec.MsgspecError, RecursionError) as fault:
             raise Unfit("unreadable") from fault
-        if not 0 < len(head.sender) <= 64 or head.number < 0 or not 0 <= head.incarnation < 1 << 48:
+        if not 0 < len(header.sender) <= 64 or header.number < 0 or not 0 <= header.incarnation < 1 << 48:
             raise Unfit("unreadable")
-        return head, raw[1 + raw[0] :]
-
-    def _numbered(self, head: Head) -> None:
-        """Each number of a life once. Two lives of a name are remembered: a restart is believed; but words of a life that
-        another one followed, again and again and not heard before, are of a process that runs beside it, which is told.
-        Neither silences the other."""
-        lives = self.senders.setdefault(head.sender, [])
-        self.senders.move_to_end(head.sender)
-        while len(self.senders) > SENDERS:
+        return header, raw[1 + raw[0] :]
+
+    def _check_sequence(self, header: Header) -> None:
+        """Accepts each number of a run once; raises Unfit for a replay.
+
+        The last two runs of a name are tracked, so a restart is accepted. If the older run repeatedly sends new datagrams
+        after the newer one did, two processes use the name at the same time: that is reported in `twice`, and both are
+        still accepted.
+        """
+        runs = self.senders.setdefault(header.sender, [])
+        self.senders.move_to_end(header.sender)
+        while len(self.senders) > MAX_SENDERS:
             self.senders.popitem(last=False)
-        known = next((one for one in lives if one.life == head.life), None)
-        if known is None:
-            known = Sender(head.life)
-            lives.append(known)
-            del lives[:-2]
-        if not known.fresh(head.number):
+        run = next((candidate for candidate in runs if candidate.run_id == header.life), None)
+        if run is None:
+            run = SenderRun(header.life)
+            runs.append(run)
+            del runs[:-2]
+        if not run.accept(header.number):
             raise Unfit("replayed")
-        if known is not lives[-1]:
-            lives.reverse()
-            known.returns += 1
-            if known.returns >= RETURNS:
-                self.twice.append(head.sender)
-                known.returns = 0
+        if run is not runs[-1]:
+            runs.reverse()
+            run.alternations += 1
+            if run.alternations >= MIN_ALTERNATIONS:
+                self.twice.append(header.sender)
+                run.alternations = 0
 
 
-def head_of(data: bytes) -> Head | None:
-    """The head as it stands, unchecked, None if there is none: for who only watches."""
+def head_of(data: bytes) -> Header | None:
+    """The header of a datagram, unverified, or None if it can't be decoded: for passive observers."""
     try:
         return _decoder.decode(data[4 : 4 + data[3]])
     except (msgspec.MsgspecError, RecursionError, IndexError):
         return None
 
 
-__all__ = ["CAUSES", "Head", "Seal", "Unfit", "head_of"]
+__all__ = ["CAUSES", "Header", "Seal", "Unfit", "head_of"]
--- a/ramppulley/cluster/showing.py
+++ b/ramppulley/cluster/showing.py
@@ -1,95 +1,99 @@
-"""A router's view, told page by page to who holds the cluster's key and asks: a machine beside the others. Pure."""
+"""Serves a router's membership view in pages, and the operator's switch, to clients that hold the cluster key. No I/O."""
 
 from collections.abc import Callable
 
 import msgspec
 
 from ramppulley.cluster.token_bucket import TokenBucket
-from ramppulley.cluster.words import SAFE_SIZE, Address
+from ramppulley.cluster.words import MAX_PAYLOAD_SIZE, Address
 
-PER_SECOND, BURST = 200, 400  # pages
-NEVER = 1 << 62  # due time of a machine that waits for nothing
+PER_SECOND, BURST = 200, 400  # rate limit of pages
+NEVER = 1 << 62  # due time of a state machine without timers
 
 Row = list[str | int]
 
 
-class Ask(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """For the page that begins with this row."""
+class PageRequest(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """Requests the page that starts at row `first`."""
 
     first: int
 
 
 class Page(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """Rows from `first` on, of `total`; each what the router's `rows` gives, plain values only."""
+    """Rows from `first` on, of `total`; a row is a list of plain values as returned by the router's `rows`."""
 
     first: int
     total: int
     rows: list[Row]
 
 
-_asks, _pages, _encoder = msgspec.msgpack.Decoder(Ask), msgspec.msgpack.Decoder(Page), msgspec.msgpack.Encoder()
+_request_decoder, _page_decoder, _encoder = (
+    msgspec.msgpack.Decoder(PageRequest),
+    msgspec.msgpack.Decoder(Page),
+    msgspec.msgpack.Encoder(),
+)
 
 
 class Showing:
-    """Answers with as many rows as one datagram carries. `rows()` gives them all."""
+    """Answers page requests with as many rows as fit into one datagram. `rows()` returns all rows."""
 
     def __init__(self, rows: Callable[[], list[Row]], budget: TokenBucket) -> None:
         self.rows = rows
         self.budget = budget
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, head: object = None) -> None:
-        """One question for a page; one that cannot be read, or is over the budget, gets no answer."""
+    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+        """Handles one page request; an unreadable or rate-limited request gets no answer."""
         try:
-            ask = _asks.decode(payload)
+            request = _request_decoder.decode(payload)
         except (msgspec.MsgspecError, RecursionError):
             return
-        if ask.first < 0 or not self.budget.take(now):
+        if request.first < 0 or not self.budget.take(now):
             return
         rows = self.rows()
-        page = Page(ask.first, len(rows), [])
+        page = Page(request.first, len(rows), [])
         size = len(_encoder.encode(page)) + 8
-        for row in rows[ask.first :]:
+        for row in rows[request.first :]:
             size += len(_encoder.encode(row))
-            if size > SAFE_SIZE:
+            if size > MAX_PAYLOAD_SIZE:
                 break
             page.rows.append(row)
         self.out.append((address, _encoder.encode(page)))
 
     def due(self) -> int:
-        """When `tick` is wanted next."""
+        """When `tick` has to be called next."""
         return NEVER
 
     def tick(self, now: int) -> None:
-        """Nothing of its own."""
+        """Does nothing: there are no timers."""
 
 
 class Switch:
-    """An operator's word to all routers, by the cluster's key: what others told and turns count, or not. `switched(on)`."""
+    """Enables or disables signals and turns on an operator's command. `on_switch(enabled)` applies it."""
 
-    def __init__(self, switched: Callable[[bool], None]) -> None:
-        self.switched = switched
+    def __init__(self, on_switch: Callable[[bool], None]) -> None:
+        self.on_switch = on_switch
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, head: object = None) -> None:
-        """One word of an operator; anything else changes nothing."""
+    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+        """Handles one command; any other payload is ignored."""
         if payload in (b"on", b"off"):
-            self.switched(payload == b"on")
-            self.out.append((address, payload))  # so that the one who asks knows who heard it
+            self.on_switch(payload == b"on")
+            self.out.append((address, payload))  # acknowledges the command
 
     def due(self) -> int:
-        """When `tick` is wanted next."""
+        """When `tick` has to be called next."""
         return NEVER
 
     def tick(self, now: int) -> None:
-        """Nothing of its own."""
+        """Does nothing: there are no timers."""
 
 
 def ask(first: int) -> bytes:
-    """The payload that asks for the page that begins with this row."""
-    return _encoder.encode(Ask(first))
+    """Encodes a request for the page that starts at row `first`."""
+    return _encoder.encode(PageRequest(first))
 
 
 def page(payload: bytes) -> Page:
-    """The page of an answer. Raises msgspec.MsgspecError."""
-    return _pages.decode(payload)
+    """Decodes a page. Raises msgspec.MsgspecError."""
+    return _page_decoder.decode(payload)
--- a/ramppulley/cluster/snapshot.py
+++ b/ramppulley/cluster/snapshot.py
@@ -1,56 +1,57 @@
-"""What a router must not forget over a restart: which incarnations it may have used. Pure: bytes and figures.
+"""Snapshot file with the incarnations that a router may have used. Does no I/O.
 
-A block of incarnations is set aside before any of it is used: a restart begins above whatever was told, after a crash too.
+A block of incarnations is reserved on disk before any of them is used, so that a restart, also after a crash, starts above
+every incarnation that was ever announced.
 """
 
 from hashlib import blake2b
 
 import msgspec
 
-MARK, VERSION, SUM = b"RPS", 1, 16
-MOST = 4_096  # bytes; a longer file is none of ours
-BLOCK = 1_024  # incarnations set aside at once
+MAGIC, VERSION, CHECKSUM_SIZE = b"RPS", 1, 16
+MOST = 4_096  # maximum file size in bytes; a longer file is not a snapshot
+BLOCK = 1_024  # incarnations reserved at once
 
 
 class Kept(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     cluster: str
     name: str
-    highest: int  # incarnations up to here may have been used
+    highest: int  # the highest incarnation that may have been used
 
 
 class Torn(ValueError):
-    """What was read is no whole snapshot of ours."""
+    """The bytes are not a complete snapshot."""
 
 
 class Alien(ValueError):
-    """A whole snapshot, but of another cluster, router or version."""
+    """A complete snapshot, but of another cluster, router or format version."""
 
 
-def packed(kept: Kept) -> bytes:
-    """The file's bytes: mark, version, content, checksum."""
-    raw = MARK + bytes([VERSION]) + msgspec.msgpack.encode(kept)
-    return raw + blake2b(raw, digest_size=SUM).digest()
+def packed(snapshot: Kept) -> bytes:
+    """Encodes the file: magic, version, content, checksum."""
+    raw = MAGIC + bytes([VERSION]) + msgspec.msgpack.encode(snapshot)
+    return raw + blake2b(raw, digest_size=CHECKSUM_SIZE).digest()
 
 
 def read(raw: bytes, cluster: str, name: str) -> Kept:
-    """The Kept of a file's bytes; raises Torn or Alien.
+    """Decodes a snapshot file; raises Torn or Alien.
 
     >>> read(packed(Kept("c", "r0", 1024)), "c", "r0").highest
     1024
     """
     if (
         len(raw) > MOST
-        or len(raw) < len(MARK) + 1 + SUM
-        or raw[:3] != MARK
-        or blake2b(raw[:-SUM], digest_size=SUM).digest() != raw[-SUM:]
+        or len(raw) < len(MAGIC) + 1 + CHECKSUM_SIZE
+        or raw[:3] != MAGIC
+        or blake2b(raw[:-CHECKSUM_SIZE], digest_size=CHECKSUM_SIZE).digest() != raw[-CHECKSUM_SIZE:]
     ):
-        raise Torn("torn, or not a snapshot")
+        raise Torn("file is truncated, damaged or not a snapshot")
     if raw[3] != VERSION:
-        raise Alien(f"version {raw[3]}; this program reads {VERSION}")
+        raise Alien(f"snapshot has format version {raw[3]}; this program reads version {VERSION}")
     try:
-        kept = msgspec.msgpack.decode(raw[4:-SUM], type=Kept)
+        snapshot = msgspec.msgpack.decode(raw[4:-CHECKSUM_SIZE], type=Kept)
     except msgspec.MsgspecError as fault:
         raise Torn(str(fault)) from fault
-    if (kept.cluster, kept.name) != (cluster, name):
-        raise Alien(f"of router {kept.name!r} in cluster {kept.cluster!r}")
-    return kept
+    if (snapshot.cluster, snapshot.name) != (cluster, name):
+        raise Alien(f"snapshot belongs to router {snapshot.name!r} in cluster {snapshot.cluster!r}")
+    return snapshot
--- a/ramppulley/cluster/subsets.py
+++ b/ramppulley/cluster/subsets.py
@@ -1,10 +1,11 @@
-"""Which workers a router uses ordinarily, from the list of workers and its view of the routers. Pure; one view, one answer.
-
-Each (router, worker) has a lot from 0 to 1, the same at all routers. A router uses the cells of its least lots, whole or in
-part, and every worker at which it is among the few routers of its view with the least lots: nobody is left out. Its part is
-a half, a quarter ... of the list: another router moves none of the others' subsets. The routers' shares of what they use are
-then fitted (iterative proportional fitting: Deming and Stephan 1940) so that all workers of a role get their even part,
-although subsets are drawn.
+"""Worker subsetting: the workers that a router normally uses, computed from the worker list and its view of the routers.
+
+Does no I/O; equal views give equal subsets. Each (router, worker) pair has a rendezvous hash from 0 to 1, the same at all
+routers. A router uses the groups with its lowest hashes, whole or in part, and also every worker for which it is among the
+few routers in its view with the lowest hashes, so that no worker is left out. The fraction used is a half, a quarter ... of
+the list, so that a router that joins or leaves doesn't change the others' subsets. The routers' traffic shares are then
+fitted (iterative proportional fitting: Deming and Stephan 1940) so that all workers of a role get equal traffic by
+weight, although the subsets are random.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,24 +14,24 @@
 from zlib import crc32
 
 MIX, MIX_MORE, WORD = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93, 0xFFFFFFFFFFFFFFFF
-WARDENS = 2  # routers that use a worker whatever the part is
-COVERED = 8  # routers that use a worker on average, or more: few of them would be uneven
-PAIRS_LEAST = 2  # readers, and writers, of a cell of which any are used
-CELLS_LEAST = 2  # cells that a router uses, where there are so many
-ZONE_SLACK = 1.1  # a zone's workers may get so many times their even part before its routers use other zones'
-STEPS = 16  # of what a zone keeps: traffic that moves a little moves no subset
-ROUNDS = 12  # of fitting; measured: the most loaded is within 1.02 after 8
-WEIGHT_LEAST = 1e-3  # of a worker that is used at all
-TRAFFIC_BAND = 0.75  # powers of two that a router's traffic moves before it is told anew: no flapping there
-KEPT_AT = 0.8  # a part is kept down to this part of what taking it up needs: no flapping at its edge
+GUARANTEED_ROUTERS = 2  # routers that use a worker whatever the fraction is
+MIN_MEAN_ROUTERS = 8  # mean number of routers per worker that is kept: with fewer the load would be uneven
+MIN_PER_ROLE = 2  # prefill workers, and decode workers, used of each group that is used at all
+MIN_GROUPS = 2  # groups that a router uses, if there are that many
+ZONE_SLACK = 1.1  # a zone's workers may get this multiple of their even share before its routers use other zones
+ZONE_STEPS = 16  # granularity of the traffic share kept in a zone, so that a small traffic change moves no subset
+FITTING_ROUNDS = 12  # measured: the most loaded worker is within 1.02 of its share after 8
+MIN_WEIGHT = 1e-3  # of a worker that is used at all
+TRAFFIC_HYSTERESIS = 0.75  # change of the traffic's binary logarithm before it is announced anew, against flapping
+FRACTION_HYSTERESIS = 0.8  # a fraction is kept down to this share of what choosing it requires, against flapping
 
 
 @dataclass(frozen=True)
 class Place:
-    """A worker as subsets see it. `mark` is the same at all routers."""
+    """A worker as seen by the subsetting. `mark` is the endpoint ID, the same at all routers."""
 
     mark: int
-    role: str  # read, write or both
+    role: str  # "read" (prefill), "write" (decode) or "both" (mixed)
     cell: int
     zone: int
     weight: float = 1.0
@@ -38,16 +39,17 @@
 
 @dataclass(frozen=True)
 class Peer:
-    """A router of the view, oneself too. `traffic`: questions a second, coarsely."""
+    """A router in the view, including this one. `traffic`: requests per second, rounded to a power of two."""
 
     name: str
     zone: int
     traffic: float = 1.0
-    sure: bool = True  # False: others suspect it; it counts, but not as one that a worker may rely on
+    sure: bool = True  # False while it is a suspect: it counts as a router, but not towards GUARANTEED_ROUTERS
 
 
 def mark_of(name: str) -> int:
-    """
+    """64-bit hash of a name.
+
     >>> mark_of("r0") == mark_of("r0") != mark_of("r1")
     True
     """
@@ -55,7 +57,7 @@
 
 
 def lot(router: int, worker: int) -> float:
-    """What a router's mark and a worker's draw together, from 0 to 1 evenly."""
+    """Rendezvous hash of a router's and a worker's hash, uniform from 0 to 1."""
     mixed = ((router ^ worker * MIX_MORE) * MIX) & WORD
     mixed = ((mixed ^ mixed >> 29) * MIX_MORE) & WORD
     mixed = ((mixed ^ mixed >> 32) * MIX) & WORD
@@ -63,175 +65,199 @@
 
 
 def traffic_of(rate: float, before: int) -> int:
-    """Questions a second as a power of two, `before` while the rate stays near it.
+    """Binary logarithm of the requests per second, rounded; stays at `before` while the rate is near it.
 
     >>> traffic_of(0.1, 0), traffic_of(40, 0), traffic_of(45, 5), traffic_of(60, 5)
     (0, 5, 5, 6)
     """
     level = log2(max(1.0, rate))
-    return round(level) if abs(level - before) > TRAFFIC_BAND else before
+    return round(level) if abs(level - before) > TRAFFIC_HYSTERESIS else before
 
 
-def part_of(routers: int, workers: int, least: int, before: float = 1.0) -> float:
-    """The part of the list that a router uses: 1, 1/2, 1/4 ... so that each worker has COVERED routers and each router
-    `least` workers. `before`: the part so far, which is kept in a band so that one that flaps moves nothing.
+def part_of(routers: int, workers: int, min_workers: int, before: float = 1.0) -> float:
+    """The fraction of the list that a router uses: 1, 1/2, 1/4 ..., as small as leaves MIN_MEAN_ROUTERS routers per worker
+    and `min_workers` workers per router. `before`: the current fraction, kept within a band so that a router that flaps
+    moves nothing.
 
     >>> part_of(64, 64, 12), part_of(7, 64, 12), part_of(1000, 256, 12), part_of(15, 64, 12), part_of(15, 64, 12, 0.5)
     (0.25, 1.0, 0.0625, 1.0, 0.5)
     """
-    part = 1.0
+    fraction = 1.0
     while True:
-        kept = KEPT_AT if part / 2 >= before else 1.0
-        if part / 2 * workers < least * kept or part / 2 * routers < COVERED * kept:
-            return part
-        part /= 2
+        factor = FRACTION_HYSTERESIS if fraction / 2 >= before else 1.0
+        if fraction / 2 * workers < min_workers * factor or fraction / 2 * routers < MIN_MEAN_ROUTERS * factor:
+            return fraction
+        fraction /= 2
 
 
-def flows(peers: Sequence[Peer], places: Sequence[Place]) -> dict[tuple[int, int], float]:
-    """{(zone of routers, zone of workers): part of those routers' traffic}: own workers first, what they cannot take
-    goes to zones with workers to spare.
+def zone_flows(peers: Sequence[Peer], places: Sequence[Place]) -> dict[tuple[int, int], float]:
+    """{(router zone, worker zone): share of the traffic of the first zone's routers}: workers of the same zone first; the
+    excess goes to zones with spare capacity.
 
     >>> peers, places = [Peer("a", 0), Peer("b", 1)], [Place(1, "write", 0, 0), Place(2, "write", 0, 1)]
-    >>> flows(peers, places), flows(peers, places[:1])
+    >>> zone_flows(peers, places), zone_flows(peers, places[:1])
     ({(0, 0): 1.0, (1, 1): 1.0}, {(0, 0): 1.0, (1, 0): 1.0})
     """
     traffic: dict[int, float] = {}
-    room: dict[int, float] = {}
+    capacity: dict[int, float] = {}
     for peer in peers:
         traffic[peer.zone] = traffic.get(peer.zone, 0.0) + max(peer.traffic, 1e-9)
     for place in places:
-        room[place.zone] = room.get(place.zone, 0.0) + place.weight
-    asked, had = sum(traffic.values()) or 1.0, sum(room.values()) or 1.0
-    traffic, room = ({zone: of / whole for zone, of in some.items()} for some, whole in ((traffic, asked), (room, had)))
-    kept = {
-        zone: min(STEPS, round(STEPS * ZONE_SLACK * room.get(zone, 0.0) / part)) / STEPS
-        for zone, part in traffic.items()
+        capacity[place.zone] = capacity.get(place.zone, 0.0) + place.weight
+    total_traffic, total_capacity = sum(traffic.values()) or 1.0, sum(capacity.values()) or 1.0
+    traffic, capacity = (
+        {zone: amount / total for zone, amount in amounts.items()}
+        for amounts, total in ((traffic, total_traffic), (capacity, total_capacity))
+    )
+    local = {
+        zone: min(ZONE_STEPS, round(ZONE_STEPS * ZONE_SLACK * capacity.get(zone, 0.0) / share)) / ZONE_STEPS
+        for zone, share in traffic.items()
     }
-    spare = {zone: max(0.0, part - traffic.get(zone, 0.0) * kept.get(zone, 0.0)) for zone, part in room.items()}
-    found = {}
+    spare = {zone: max(0.0, share - traffic.get(zone, 0.0) * local.get(zone, 0.0)) for zone, share in capacity.items()}
+    flows = {}
     for zone in traffic:
-        if kept[zone]:
-            found[zone, zone] = kept[zone]
-        others = {z: s for z, s in spare.items() if z != zone and s} or {z: r for z, r in room.items() if z != zone}
-        for other, of in others.items():
-            if kept[zone] < 1:
-                found[zone, other] = (1 - kept[zone]) * of / sum(others.values())
-    return found
+        if local[zone]:
+            flows[zone, zone] = local[zone]
+        others = {z: s for z, s in spare.items() if z != zone and s} or {z: c for z, c in capacity.items() if z != zone}
+        for other, amount in others.items():
+            if local[zone] < 1:
+                flows[zone, other] = (1 - local[zone]) * amount / sum(others.values())
+    return flows
 
 
 class View:
-    """One router's view of routers and workers, and who uses what by it."""
+    """One router's view of routers and workers, and the subsets that follow from it."""
 
-    def __init__(self, peers: Sequence[Peer], places: Sequence[Place], part: float) -> None:
+    def __init__(self, peers: Sequence[Peer], places: Sequence[Place], fraction: float) -> None:
         self.peers = sorted(peers, key=lambda p: p.name)
         self.places = list(places)
-        self.part = part
+        self.fraction = fraction
         self.marks = {peer.name: mark_of(peer.name) for peer in self.peers}
-        self.flows = flows(self.peers, self.places)
-        self.cells: dict[int, list[Place]] = {}
-        self.zones: dict[int, int] = {}  # zone -> cells with workers in it
+        self.flows = zone_flows(self.peers, self.places)
+        self.groups: dict[int, list[Place]] = {}
+        self.groups_by_zone: dict[int, int] = {}  # zone -> number of groups with workers in it
         for place in self.places:
-            self.cells.setdefault(place.cell, []).append(place)
-        for of_cell in self.cells.values():
-            for zone in {place.zone for place in of_cell}:
-                self.zones[zone] = self.zones.get(zone, 0) + 1
-        self.wardens = {} if part >= 1 else {place.mark: self._wardens(place) for place in self.places}
-        self.used: dict[str, set[int]] = {}
-        self.mean = sum(p.traffic for p in self.peers) / len(self.peers)
-
-    def part_for(self, peer: Peer) -> float:
-        """A router of twice, four times ... the mean traffic uses so many times the part: it would overfill its workers."""
-        return min(1.0, self.part * 2.0 ** max(0, floor(log2(max(peer.traffic, 1e-9) / max(self.mean, 1e-9)))))
-
-    def _wardens(self, place: Place) -> set[str]:
-        sure = [peer.name for peer in self.peers if peer.sure]
-        return set(sorted(sure, key=lambda name: lot(self.marks[name], place.mark))[:WARDENS])
+            self.groups.setdefault(place.cell, []).append(place)
+        for members in self.groups.values():
+            for zone in {place.zone for place in members}:
+                self.groups_by_zone[zone] = self.groups_by_zone.get(zone, 0) + 1
+        # endpoint ID -> names of the routers that use it in any case
+        self.guaranteed = (
+            {} if fraction >= 1 else {place.mark: self._guaranteed_routers(place) for place in self.places}
+        )
+        self.subsets: dict[str, set[int]] = {}
+        self.mean_traffic = sum(p.traffic for p in self.peers) / len(self.peers)
+
+    def fraction_for(self, peer: Peer) -> float:
+        """A router with 2, 4 ... times the mean traffic uses that multiple of the fraction, so as not to overload its
+        workers."""
+        return min(
+            1.0, self.fraction * 2.0 ** max(0, floor(log2(max(peer.traffic, 1e-9) / max(self.mean_traffic, 1e-9))))
+        )
+
+    def _guaranteed_routers(self, place: Place) -> set[str]:
+        reliable = [peer.name for peer in self.peers if peer.sure]
+        return set(sorted(reliable, key=lambda name: lot(self.marks[name], place.mark))[:GUARANTEED_ROUTERS])
 
     def subset(self, peer: Peer) -> set[int]:
-        """Marks of the workers that this router uses: whole pairs, readers and writers of one cell together."""
-        if self.part_for(peer) >= 1:
+        """Endpoint IDs of the workers that this router uses, with prefill and decode workers of the same groups."""
+        if self.fraction_for(peer) >= 1:
             return {place.mark for place in self.places}
-        if peer.name not in self.used:
-            self.used[peer.name] = self._subset(peer)
-        return self.used[peer.name]
+        if peer.name not in self.subsets:
+            self.subsets[peer.name] = self._subset(peer)
+        return self.subsets[peer.name]
 
     def _subset(self, peer: Peer) -> set[int]:
-        """Whole cells by their lots, rarer ones of zones that get little of its traffic; parts of them where the list has
-        few cells. Nothing here rests on how many workers there are, so that one more or less moves only itself."""
-        mark, part = self.marks[peer.name], self.part_for(peer)
-        taken: set[int] = set()
-        parts = {
-            cell: max(self.flows.get((peer.zone, place.zone), 0.0) / self.zones[place.zone] for place in places)
-            for cell, places in self.cells.items()
+        """Whole groups by rendezvous hash, fewer from zones that get little of its traffic; parts of groups if the list has
+        few groups. Nothing here depends on the number of workers, so a worker that joins or leaves moves only itself."""
+        mark, fraction = self.marks[peer.name], self.fraction_for(peer)
+        chosen: set[int] = set()
+        group_weights = {
+            group: max(
+                self.flows.get((peer.zone, place.zone), 0.0) / self.groups_by_zone[place.zone] for place in places
+            )
+            for group, places in self.groups.items()
         }
-        order = sorted([cell for cell in parts if parts[cell]], key=lambda c: -log(1 - lot(mark, c)) / parts[c])
-        count = min(len(order), max(CELLS_LEAST, round(part * len(self.cells)))) or 1
-        share = min(1.0, part * len(self.cells) / count)
-        for cell in order[:count]:
+        order = sorted(
+            [group for group in group_weights if group_weights[group]],
+            key=lambda g: -log(1 - lot(mark, g)) / group_weights[g],
+        )
+        count = min(len(order), max(MIN_GROUPS, round(fraction * len(self.groups)))) or 1
+        group_fraction = min(1.0, fraction * len(self.groups) / count)
+        for group in order[:count]:
             for role in ("both", "read", "write"):
-                like = sorted([p for p in self.cells[cell] if p.role == role], key=lambda p: lot(mark, p.mark))
-                taken.update([p.mark for p in like[: max(PAIRS_LEAST, ceil(share * len(like)))]])
+                same_role = sorted([p for p in self.groups[group] if p.role == role], key=lambda p: lot(mark, p.mark))
+                chosen.update([p.mark for p in same_role[: max(MIN_PER_ROLE, ceil(group_fraction * len(same_role)))]])
         for place in self.places:
-            if peer.name in self.wardens[place.mark] and place.mark not in taken:
-                taken |= self._with_partner(mark, place)
-        return taken
+            if peer.name in self.guaranteed[place.mark] and place.mark not in chosen:
+                chosen |= self._with_partner(mark, place)
+        return chosen
 
     def _with_partner(self, mark: int, place: Place) -> set[int]:
-        other = {"read": "write", "write": "read"}.get(place.role)
-        like = [p for p in self.cells[place.cell] if p.role == other]
-        return {place.mark} | {p.mark for p in sorted(like, key=lambda p: lot(mark, p.mark))[:1]}
+        """A worker, and one of its group with the complementary role."""
+        other_role = {"read": "write", "write": "read"}.get(place.role)
+        partners = [p for p in self.groups[place.cell] if p.role == other_role]
+        return {place.mark} | {p.mark for p in sorted(partners, key=lambda p: lot(mark, p.mark))[:1]}
+
+    def shares(self, rounds: int = FITTING_ROUNDS) -> dict[str, dict[int, float]]:
+        """{router: {endpoint ID: share of its traffic}}; decode workers and prefill workers each add up to 1.
 
-    def shares(self, rounds: int = ROUNDS) -> dict[str, dict[int, float]]:
-        """{router: {mark: part of its traffic}}, writers and readers each adding up to 1, so that all workers of a role get
-        their even part by weight, readers within their cell as its writers do."""
+        All workers of a role get equal traffic by weight, prefill workers within their group in proportion to the traffic
+        of its decode workers.
+        """
         traffic = {peer.name: max(peer.traffic, 1e-9) for peer in self.peers}
         used = {peer.name: self.subset(peer) for peer in self.peers}
-        writers = [place for place in self.places if place.role != "read"]
-        found = fitted(traffic, {n: [w for w in writers if w.mark in used[n]] for n in used}, rounds)
-        for places in self.cells.values():
-            write = {place.mark for place in places if place.role != "read"}
-            asked = {
-                n: sum(part for mark, part in row.items() if mark in write) * traffic[n] for n, row in found.items()
+        decode = [place for place in self.places if place.role != "read"]
+        shares = fit_shares(traffic, {n: [w for w in decode if w.mark in used[n]] for n in used}, rounds)
+        for places in self.groups.values():
+            decode_marks = {place.mark for place in places if place.role != "read"}
+            group_traffic = {
+                n: sum(share for mark, share in row.items() if mark in decode_marks) * traffic[n]
+                for n, row in shares.items()
             }
-            asked = {n: part for n, part in asked.items() if part}
-            readers = [place for place in places if place.role == "read"]
-            near = fitted(asked, {n: [r for r in readers if r.mark in used[n]] for n in asked}, rounds)
-            for name, row in near.items():
-                found[name] = found[name] | {mark: part * asked[name] / traffic[name] for mark, part in row.items()}
-        return found
+            group_traffic = {n: amount for n, amount in group_traffic.items() if amount}
+            prefill = [place for place in places if place.role == "read"]
+            prefill_shares = fit_shares(
+                group_traffic, {n: [w for w in prefill if w.mark in used[n]] for n in group_traffic}, rounds
+            )
+            for name, row in prefill_shares.items():
+                shares[name] = shares[name] | {
+                    mark: share * group_traffic[name] / traffic[name] for mark, share in row.items()
+                }
+        return shares
 
     def weights(self, name: str) -> dict[int, float]:
-        """{mark: weight} of what this router uses: the list's own weights of each role, moved between them by its shares."""
+        """{endpoint ID: weight} of this router's subset: the total weight of each role, redistributed by its shares."""
         row = self.shares()[name]
-        found: dict[int, float] = {}
-        for writes in (False, True):
-            some = [p for p in self.places if p.mark in row and (p.role != "read") == writes]
-            whole, shares = sum(p.weight for p in some), sum(row[p.mark] for p in some) or 1.0
-            found |= {p.mark: max(WEIGHT_LEAST, row[p.mark] / shares * whole) for p in some}
-        return found
+        weights: dict[int, float] = {}
+        for is_decode in (False, True):
+            places = [p for p in self.places if p.mark in row and (p.role != "read") == is_decode]
+            total, total_share = sum(p.weight for p in places), sum(row[p.mark] for p in places) or 1.0
+            weights |= {p.mark: max(MIN_WEIGHT, row[p.mark] / total_share * total) for p in places}
+        return weights
 
 
-def fitted(
+def fit_shares(
     traffic: Mapping[str, float], used: Mapping[str, Sequence[Place]], rounds: int
 ) -> dict[str, dict[int, float]]:
-    """{router: {mark: part}}: rows add up to 1, and each worker gets so much as it is heavy, as far as `used` lets it.
+    """{router: {endpoint ID: share}}: rows add up to 1, and each worker gets traffic by weight as far as `used` allows.
 
     >>> one, two = Place(1, "write", 0, 0), Place(2, "write", 0, 0)
-    >>> rows = fitted({"a": 1.0, "b": 1.0}, {"a": [one, two], "b": [two]}, 30)
+    >>> rows = fit_shares({"a": 1.0, "b": 1.0}, {"a": [one, two], "b": [two]}, 30)
     >>> round(rows["a"][1], 1), rows["b"]
     (1.0, {2: 1.0})
     """
-    rows = {name: {w.mark: w.weight for w in some} for name, some in used.items() if some}
-    even = {w.mark: w.weight for some in used.values() for w in some}
-    even = {mark: weight * sum(traffic[n] for n in rows) / sum(even.values()) for mark, weight in even.items()}
-    for last in reversed(range(rounds)):
-        got = dict.fromkeys(even, 0.0)
+    rows = {name: {w.mark: w.weight for w in places} for name, places in used.items() if places}
+    targets = {w.mark: w.weight for places in used.values() for w in places}
+    targets = {mark: weight * sum(traffic[n] for n in rows) / sum(targets.values()) for mark, weight in targets.items()}
+    for remaining in reversed(range(rounds)):
+        received = dict.fromkeys(targets, 0.0)
         for name, row in rows.items():
             scale = traffic[name] / sum(row.values())
             for mark in row:
                 row[mark] *= scale
-                got[mark] += row[mark]
-        for row in rows.values() if last else ():
+                received[mark] += row[mark]
+        for row in rows.values() if remaining else ():
             for mark in row:
-                row[mark] *= even[mark] / got[mark]
-    return {name: {mark: part / traffic[name] for mark, part in row.items()} for name, row in rows.items()}
+                row[mark] *= targets[mark] / received[mark]
+    return {name: {mark: amount / traffic[name] for mark, amount in row.items()} for name, row in rows.items()}
--- a/ramppulley/cluster/suspicion.py
+++ b/ramppulley/cluster/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion waits for a refutation (Lifeguard, LHA suspicion)."""
+"""Timeout of a suspicion (Lifeguard, LHA suspicion)."""
 
 from math import log, log10
 
@@ -6,7 +6,7 @@
 
 
 def suspicion_timeout(config: ProtocolConfig, size: int, accusers: int) -> int:
-    """Less the more instances suspect it by themselves, more the larger the cluster is.
+    """How long a suspicion waits for a refutation: shorter with more independent accusers, longer in a larger cluster.
 
     >>> [suspicion_timeout(ProtocolConfig(), 10, accusers) for accusers in (1, 2, 4)]
     [240000, 140000, 40000]
--- a/ramppulley/cluster/token_bucket.py
+++ b/ramppulley/cluster/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket: bounds what is sent a second, whatever others send us."""
+"""Token bucket: limits the rate of datagrams sent, whatever is received."""
 
 from ramppulley.cluster.config import S
 
 
 class TokenBucket:
-    """So many tokens a second, `burst` of them at once; what finds none is not sent.
+    """Refills `per_second` tokens per second, up to `burst`.
 
     >>> bucket = TokenBucket(10, 2)
     >>> [bucket.take(now) for now in (0, 0, 0, 1_000)]
@@ -18,7 +18,7 @@
         self.updated_at = 0
 
     def take(self, now: int) -> bool:
-        """Whether there was a token, which is gone now."""
+        """Takes a token; False if there is none."""
         self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.per_second / S)
         self.updated_at = now
         if self.tokens < 1:
--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -1,13 +1,15 @@
-"""Turns: what only a few routers should do at once, leased among the members without a central place. Pure.
-
-Each thing has a steward: of the members whom a router counts on, the one with the least lot for that thing; all who see the
-same members ask the same one. It gives so many seats at once, each for a time (leases: Gray and Cheriton 1989). A holder
-counts that time from when it asked, a steward from when it gave, longer by what two clocks may drift apart: so the holder's
-own end is always before the steward's belief. A holder that was stopped finds its time over.
-
-A steward gives nothing until a lease's whole time after it became the steward, started, was stopped or saw its clock step,
-and nothing while it counts on no more than half of the members that it remembers: who was steward before may have given.
-Where no steward answers, a router does after a while as it would without turns: waiting for ever is worse than two at once.
+"""Leases for actions that only a few routers should perform at once, granted by the members themselves. Does no I/O.
+
+Each resource has a coordinator: of the members that a router considers present, the one with the lowest rendezvous hash for
+that resource, so all routers with the same view ask the same member. It grants a number of permits at once, each for a
+limited time (leases: Gray and Cheriton 1989). The holder counts the lease from its request, the coordinator from its grant
+and with a margin for clock drift, so the holder's lease always ends before the coordinator considers it over. A holder that
+was suspended finds its lease expired.
+
+A coordinator grants nothing for one full lease time after it became the coordinator, started, was suspended or saw its
+clock step, and nothing while it sees no more than half of the members it remembers: the previous coordinator may have
+granted leases that still run. If no coordinator answers for a while, a router acts as if there were no leases: waiting for
+ever would be worse than two routers acting at once.
 """
 
 from collections import Counter
@@ -17,189 +19,206 @@
 import msgspec
 
 from ramppulley.cluster.config import MS, S
-from ramppulley.cluster.seal import Head
+from ramppulley.cluster.seal import Header
 from ramppulley.cluster.subsets import lot, mark_of
 from ramppulley.cluster.words import Address
 
 VERSION = 1
-SPAN = 2 * S  # a lease
-DRIFT = 0.02  # by how much a clock may run faster than another
-AGAIN = 300 * MS  # a thing that is wanted is asked for so often
-ALONE = 1 * S  # without any answer for so long, one acts as without turns
-STOPPED = 1 * S  # between two ticks: we were stopped, or the clock stepped; a lesser step is not seen
-THINGS, HOLDERS, TEXT = 1024, 64, 64  # remembered by a steward; of one thing; letters of its name
-VIEWS = 32  # of late, of whom we count on
+LEASE_TIME = 2 * S
+CLOCK_DRIFT = 0.02  # maximum relative drift between two clocks
+REQUEST_INTERVAL = 300 * MS  # between two requests for the same resource
+FALLBACK_DELAY = 1 * S  # without any answer for this long, a router acts without a lease
+STALL_TIME = 1 * S  # a longer gap between ticks is a suspended process or a clock step; shorter steps go unnoticed
+MAX_RESOURCES, MAX_PERMITS, MAX_NAME_LENGTH = 1024, 64, 64  # of a coordinator; of one resource; of its name
+MAX_PAST_VIEWS = 32  # earlier sets of present members that are kept
 NEVER = 1 << 62
 
 
-class Word(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """`ask` for a thing and its answers, `give` and `wait`; `done` gives it back. `number` is of the asking."""
+class LeaseMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """`ask` requests a lease, `give` and `wait` answer it, `done` releases it. `number` is that of the request."""
 
     version: int
     kind: str
-    thing: str
+    resource: str
     number: int
-    seats: int = 1  # asked for: how many may hold it at once
+    permits: int = 1  # in a request: how many routers may hold the lease at once
 
 
-class Wanted:
-    """What is known of a thing that this router wants."""
+class LeaseRequest:
+    """State of a resource that this router wants a lease for."""
 
-    __slots__ = "since", "asked_at", "number", "seats", "until", "waits_at", "steward"
+    __slots__ = "since", "requested_at", "number", "permits", "expires_at", "denied_at", "coordinator"
 
-    def __init__(self, now: int, seats: int) -> None:
+    def __init__(self, now: int, permits: int) -> None:
         self.since = now
-        self.seats = seats
-        self.asked_at = -NEVER
-        self.number = 0  # of the newest asking
-        self.until = -NEVER  # the end of our lease
-        self.waits_at = -NEVER  # when we were last told to wait
-        self.steward = ""  # who was asked last
+        self.permits = permits
+        self.requested_at = -NEVER
+        self.number = 0  # of the newest request
+        self.expires_at = -NEVER  # end of our lease
+        self.denied_at = -NEVER  # when the last `wait` was received
+        self.coordinator = ""  # receiver of the newest request
 
 
-_decoder, _encoder = msgspec.msgpack.Decoder(Word), msgspec.msgpack.Encoder()
+_decoder, _encoder = msgspec.msgpack.Decoder(LeaseMessage), msgspec.msgpack.Encoder()
 
 
 class Turns:
-    """`there()` gives {name: address} of the other routers that count, `known()` how many are remembered, with ourselves.
+    """Requests leases, and grants them where this router is the coordinator.
 
-    `take`, `tick`, `due` and `out` as every machine of the cluster.
+    `present_peers()` returns {name: address} of the other routers considered present, `known_count()` the number of all
+    routers remembered, including this one. `take`, `tick`, `due` and `out` are the interface of all state machines of the
+    cluster.
     """
 
     def __init__(
-        self, name: str, there: Callable[[], Mapping[str, Address]], known: Callable[[], int], now: int = 0
+        self,
+        name: str,
+        present_peers: Callable[[], Mapping[str, Address]],
+        known_count: Callable[[], int],
+        now: int = 0,
     ) -> None:
         self.name = name
-        self.there = there
-        self.known = known
+        self.present_peers = present_peers
+        self.known_count = known_count
         self.out: list[tuple[Address, bytes]] = []
         self.count: Counter[str] = Counter()
-        self.wanted: dict[str, Wanted] = {}
-        self.given: dict[str, dict[str, tuple[int, int]]] = {}  # thing -> {holder: (number, end by our belief)}
+        self.wanted: dict[str, LeaseRequest] = {}
+        self.granted: dict[str, dict[str, tuple[int, int]]] = {}  # resource -> {holder: (number, end by our clock)}
         self.number = 0
-        self.ticked = now
-        self.quiet_to = now + self._belief()
-        self.view: frozenset[str] = frozenset()  # whom we count on
-        self.before: list[tuple[int, frozenset[str]]] = []  # (till when, whom) of late
-
-    def _belief(self) -> int:
-        return int(SPAN * (1 + DRIFT)) + STOPPED
-
-    # What the host says
-    def want(self, now: int, thing: str, seats: int = 1) -> None:
-        """We want to do it: asked for until `leave`."""
-        if thing not in self.wanted:
-            self.wanted[thing] = Wanted(now, seats)
-
-    def leave(self, now: int, thing: str) -> None:
-        """We want it no more, or have done it."""
-        wanted = self.wanted.pop(thing, None)
-        if wanted is not None and now < wanted.until:
-            self._say(wanted.steward, Word(VERSION, "done", thing, wanted.number), now)
-
-    def holds(self, now: int, thing: str) -> bool:
-        """Whether we have the turn."""
-        return thing in self.wanted and now < self.wanted[thing].until
-
-    def may(self, now: int, thing: str) -> bool:
-        """Whether to do it: we have the turn, or nobody answers who gives it."""
-        wanted = self.wanted.get(thing)
-        if wanted is None or now < wanted.until:
-            return wanted is not None
-        heard = max(wanted.since, wanted.waits_at, wanted.until)
-        return now - heard >= ALONE
-
-    # Machine
+        self.last_tick_at = now
+        self.no_grants_until = now + self._lease_time_with_margin()
+        self.view: frozenset[str] = frozenset()  # names of the present members
+        self.past_views: list[tuple[int, frozenset[str]]] = []  # recent (end, names)
+
+    def _lease_time_with_margin(self) -> int:
+        return int(LEASE_TIME * (1 + CLOCK_DRIFT)) + STALL_TIME
+
+    # Called by the host
+    def want(self, now: int, resource: str, permits: int = 1) -> None:
+        """Requests a lease, repeatedly until `leave`."""
+        if resource not in self.wanted:
+            self.wanted[resource] = LeaseRequest(now, permits)
+
+    def leave(self, now: int, resource: str) -> None:
+        """Withdraws the request, and releases the lease if we hold it."""
+        request = self.wanted.pop(resource, None)
+        if request is not None and now < request.expires_at:
+            self._send(request.coordinator, LeaseMessage(VERSION, "done", resource, request.number), now)
+
+    def holds(self, now: int, resource: str) -> bool:
+        """Whether we hold the lease."""
+        return resource in self.wanted and now < self.wanted[resource].expires_at
+
+    def may(self, now: int, resource: str) -> bool:
+        """Whether to act: we hold the lease, or no coordinator answers."""
+        request = self.wanted.get(resource)
+        if request is None or now < request.expires_at:
+            return request is not None
+        last_answer_at = max(request.since, request.denied_at, request.expires_at)
+        return now - last_answer_at >= FALLBACK_DELAY
+
+    # State machine
     def due(self) -> int:
-        """When `tick` is wanted next."""
-        return min([wanted.asked_at + AGAIN for wanted in self.wanted.values()], default=self.ticked + STOPPED // 2)
+        """When `tick` has to be called next."""
+        return min(
+            [request.requested_at + REQUEST_INTERVAL for request in self.wanted.values()],
+            default=self.last_tick_at + STALL_TIME // 2,
+        )
 
     def tick(self, now: int) -> None:
-        """Asks for what is wanted."""
-        self._looked(now)
-        for thing, wanted in self.wanted.items():
-            if now - wanted.asked_at >= AGAIN and now >= wanted.until:
+        """Sends the requests that are due."""
+        self._observe(now)
+        for resource, request in self.wanted.items():
+            if now - request.requested_at >= REQUEST_INTERVAL and now >= request.expires_at:
                 self.number += 1
-                wanted.asked_at, wanted.number, wanted.steward = now, self.number, self.steward(thing)
-                self._say(wanted.steward, Word(VERSION, "ask", thing, wanted.number, wanted.seats), now)
-
-    def _looked(self, now: int) -> None:
-        """Stopped for a while, or a clock that stepped: what we gave before is not known to have ended."""
-        if now - self.ticked >= STOPPED:
-            self.quiet_to = now + self._belief()
+                request.requested_at, request.number, request.coordinator = now, self.number, self.coordinator(resource)
+                self._send(
+                    request.coordinator,
+                    LeaseMessage(VERSION, "ask", resource, request.number, request.permits),
+                    now,
+                )
+
+    def _observe(self, now: int) -> None:
+        """Notes view changes and gaps: after a suspension or clock step, earlier grants can't be assumed to have ended."""
+        if now - self.last_tick_at >= STALL_TIME:
+            self.no_grants_until = now + self._lease_time_with_margin()
             self.count["stood still"] += 1
-        self.ticked, view = now, frozenset(self.there())
+        self.last_tick_at, view = now, frozenset(self.present_peers())
         if view != self.view:
-            self.before.append((now, self.view))
+            self.past_views.append((now, self.view))
             self.view = view
-        self.before = [one for one in self.before if now - one[0] < self._belief()][-VIEWS:]
+        self.past_views = [past for past in self.past_views if now - past[0] < self._lease_time_with_margin()][
+            -MAX_PAST_VIEWS:
+        ]
 
-    def steward(self, thing: str, view: Collection[str] | None = None) -> str:
-        """Who gives it, by what we see."""
-        mark = crc32(thing.encode())
+    def coordinator(self, resource: str, view: Collection[str] | None = None) -> str:
+        """Name of the member that grants leases for a resource, in our current view or the given one."""
+        mark = crc32(resource.encode())
         return min(
             [self.name, *(self.view if view is None else view)], key=lambda name: (lot(mark_of(name), mark), name)
         )
 
-    def _quiet(self, now: int, thing: str) -> bool:
-        """Whether an earlier steward's leases may still run, or we are of the lesser part."""
+    def _must_not_grant(self, now: int, resource: str) -> bool:
+        """Whether an earlier coordinator's leases may still run, or we are in a minority partition."""
         return (
-            now < self.quiet_to
-            or 2 * (len(self.view) + 1) <= self.known()
-            or any(self.steward(thing, view) != self.name for _, view in self.before)
+            now < self.no_grants_until
+            or 2 * (len(self.view) + 1) <= self.known_count()
+            or any(self.coordinator(resource, view) != self.name for _, view in self.past_views)
         )
 
-    def _say(self, whom: str, word: Word, now: int) -> None:
-        if whom == self.name:
-            self._hear(now, whom, word)
+    def _send(self, receiver: str, message: LeaseMessage, now: int) -> None:
+        if receiver == self.name:
+            self._handle(now, receiver, message)
             return
-        address = self.there().get(whom)
+        address = self.present_peers().get(receiver)
         if address is not None:
-            self.out.append((address, _encoder.encode(word)))
+            self.out.append((address, _encoder.encode(message)))
 
-    def take(self, now: int, address: Address, payload: bytes, head: Head) -> None:
-        """One datagram; what is unreadable or out of bounds is counted and changes nothing."""
-        self._looked(now)
+    def take(self, now: int, address: Address, payload: bytes, header: Header) -> None:
+        """Handles one datagram; an unreadable or invalid one is counted and has no other effect."""
+        self._observe(now)
         try:
-            word = _decoder.decode(payload)
+            message = _decoder.decode(payload)
         except (msgspec.MsgspecError, RecursionError):
             self.count["unreadable"] += 1
             return
-        fits = 0 < len(word.thing) <= TEXT and word.number >= 0 and 1 <= word.seats <= HOLDERS
-        if word.version != VERSION or not fits or head.sender not in self.there():
+        valid = (
+            0 < len(message.resource) <= MAX_NAME_LENGTH and message.number >= 0 and 1 <= message.permits <= MAX_PERMITS
+        )
+        if message.version != VERSION or not valid or header.sender not in self.present_peers():
             self.count["out of bounds"] += 1
             return
-        self._hear(now, head.sender, word)
-
-    def _hear(self, now: int, who: str, word: Word) -> None:
-        if word.kind == "ask":
-            self._asked(now, who, word)
-        elif word.kind == "done":
-            holders = self.given.get(word.thing, {})
-            if who in holders and holders[who][0] == word.number:
-                del holders[who]
-        elif word.kind in ("give", "wait"):
-            wanted = self.wanted.get(word.thing)
-            if wanted is None or wanted.number != word.number:  # of an asking before: its time is not ours
+        self._handle(now, header.sender, message)
+
+    def _handle(self, now: int, sender: str, message: LeaseMessage) -> None:
+        if message.kind == "ask":
+            self._on_request(now, sender, message)
+        elif message.kind == "done":
+            holders = self.granted.get(message.resource, {})
+            if sender in holders and holders[sender][0] == message.number:
+                del holders[sender]
+        elif message.kind in ("give", "wait"):
+            request = self.wanted.get(message.resource)
+            if request is None or request.number != message.number:  # an older request started at another time
                 self.count["late"] += 1
-            elif word.kind == "give":
-                wanted.until = wanted.asked_at + int(SPAN * (1 - DRIFT))
+            elif message.kind == "give":
+                request.expires_at = request.requested_at + int(LEASE_TIME * (1 - CLOCK_DRIFT))
             else:
-                wanted.waits_at = now
-
-    def _asked(self, now: int, who: str, word: Word) -> None:
-        if self.steward(word.thing) != self.name:
-            return  # its view is not ours: it asks again, by a newer one
-        holders = {name: held for name, held in self.given.get(word.thing, {}).items() if now < held[1]}
-        if not self._quiet(now, word.thing) and (who in holders or len(holders) < word.seats):
-            holders[who] = word.number, now + self._belief()
+                request.denied_at = now
+
+    def _on_request(self, now: int, sender: str, message: LeaseMessage) -> None:
+        if self.coordinator(message.resource) != self.name:
+            return  # the sender's view differs from ours: it asks again once its view has changed
+        holders = {name: grant for name, grant in self.granted.get(message.resource, {}).items() if now < grant[1]}
+        if not self._must_not_grant(now, message.resource) and (sender in holders or len(holders) < message.permits):
+            holders[sender] = message.number, now + self._lease_time_with_margin()
             answer = "give"
         else:
             answer = "wait"
         if holders:
-            self.given[word.thing] = holders
+            self.granted[message.resource] = holders
         else:
-            self.given.pop(word.thing, None)
-        while len(self.given) > THINGS:
-            self.given.pop(next(iter(self.given)))
-        self._say(who, Word(VERSION, answer, word.thing, word.number), now)
+            self.granted.pop(message.resource, None)
+        while len(self.granted) > MAX_RESOURCES:
+            self.granted.pop(next(iter(self.granted)))
+        self._send(sender, LeaseMessage(VERSION, answer, message.resource, message.number), now)
--- a/ramppulley/cluster/words.py
+++ b/ramppulley/cluster/words.py
@@ -1,6 +1,6 @@
-"""What instances say to each other: MessagePack arrays, one datagram each, under the size that every path carries.
+"""Wire format of the membership protocol: one MessagePack array per datagram, small enough for every network path.
 
-SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey 2017).
+SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2017).
 """
 
 from collections.abc import Sequence
@@ -8,85 +8,85 @@
 
 import msgspec
 
-SAFE_SIZE = 1_200  # bytes of one datagram: passes any path of IPv6's least MTU with room for a signature
+MAX_PAYLOAD_SIZE = 1_200  # bytes of a datagram's payload: with header and tag it fits the minimum MTU of IPv6
 VERSION = 2
-TRAFFIC_MOST = 24  # powers of two
+MAX_TRAFFIC_LEVEL = 24  # binary logarithm of requests per second
 Address = tuple[str, int]
 State = Literal["alive", "suspect", "dead", "left"]
 PacketKind = Literal["ping", "ask", "ack", "nack", "sync", "view", "leave", "tell"]
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What somebody knows of an instance; `by` says it (a suspicion counts once for each who says it)."""
+    """The state of one instance as reported by `reported_by` (a suspicion counts once per reporter)."""
 
     name: str
     host: str
     port: int
     state: State
     incarnation: int
-    by: str
+    reported_by: str
     machine: str = ""
     zone: str = ""
-    traffic: int = 0  # questions a second, coarsely: the power of two
+    traffic: int = 0  # binary logarithm of requests per second
 
 
 class Packet(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """One datagram. `ping` is answered by `ack`; `ask` asks a third to ping `about`, which tells `ack` or, in time, `nack`.
+    """One datagram. `ping` is answered by `ack`; `ask` requests an indirect probe of `target`, answered by `ack` or `nack`.
 
-    `sync` hands over a part of the sender's view and is answered by `view` with a part of the other's; `tell` carries
-    updates alone.
+    `sync` carries part of the sender's view and is answered by `view` with part of the receiver's view; `tell` carries
+    updates only.
     """
 
     version: int
     kind: PacketKind
     sender: str
-    number: int  # of the ping that it belongs to
-    about: str
+    number: int  # number of the ping that it belongs to
+    target: str
     updates: list[MemberUpdate]
 
 
-class Unreadable(ValueError):
-    """A datagram that is no packet of this version."""
+class InvalidPacket(ValueError):
+    """A datagram that is not a valid packet of this protocol version."""
 
 
 _decoder, _encoder = msgspec.msgpack.Decoder(Packet), msgspec.msgpack.Encoder()
 
 
-def packed(packet: Packet) -> bytes:
-    """One datagram."""
+def encode_packet(packet: Packet) -> bytes:
+    """The packet as one datagram."""
     return _encoder.encode(packet)
 
 
-def read(data: bytes) -> Packet:
-    """The packet of a datagram; raises Unreadable."""
-    if len(data) > SAFE_SIZE:
-        raise Unreadable(f"{len(data)} bytes")
+def decode_packet(data: bytes) -> Packet:
+    """The packet in a datagram; raises InvalidPacket."""
+    if len(data) > MAX_PAYLOAD_SIZE:
+        raise InvalidPacket(f"{len(data)} bytes exceed the maximum of {MAX_PAYLOAD_SIZE}")
     try:
         packet = _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError) as fault:
-        raise Unreadable(str(fault)) from fault
+        raise InvalidPacket(str(fault)) from fault
     if packet.version != VERSION:
-        raise Unreadable(f"version {packet.version}")
+        raise InvalidPacket(f"unsupported protocol version {packet.version}")
     if any(
         not 0 < update.port < 65_536
         or not 0 <= update.incarnation < 1 << 48
         or not update.name
         or len(update.name) > 64
         or max(len(update.host), len(update.machine), len(update.zone)) > 64
-        or not 0 <= update.traffic <= TRAFFIC_MOST
+        or not 0 <= update.traffic <= MAX_TRAFFIC_LEVEL
         for update in packet.updates
     ):
-        raise Unreadable("update out of bounds")
+        raise InvalidPacket("member update has a field out of range")
     return packet
 
 
-def sized(packet: Packet, updates: Sequence[MemberUpdate]) -> tuple[bytes, int]:
-    """The packet's bytes with as many of the updates as fit, in order, and how many those are."""
-    room, taken = SAFE_SIZE - len(packed(packet)) - 2, []
+def encode_with_updates(packet: Packet, updates: Sequence[MemberUpdate]) -> tuple[bytes, int]:
+    """The encoded packet with as many of the updates, in order, as fit, and the number of those."""
+    remaining, included = MAX_PAYLOAD_SIZE - len(encode_packet(packet)) - 2, []
     for update in updates:
-        room -= len(_encoder.encode(update))
-        if room < 0:
+        remaining -= len(_encoder.encode(update))
+        if remaining < 0:
             break
-        taken.append(update)
-    packet.updates = taken
-    return packed(packet), len(taken)
+        included.append(update)
+    packet.updates = included
+    return encode_packet(packet), len(included)
--- a/ramppulley/peers/__init__.py
+++ b/ramppulley/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What routers say to each other, on sockets and on disk: thin edges around the machines of `cluster/`."""
+"""Transport between routers: the sockets that connect the state machines of `cluster/`."""
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -14,7 +14,7 @@
 def unguarded():
     """All routers use the same half of the list, and never look beyond it: nobody minds who is left out."""
     subsets.View.subset = lambda view, peer: {
-        place.mark for cell in sorted(view.cells)[::2] for place in view.cells[cell]
+        place.mark for cell in sorted(view.groups)[::2] for place in view.groups[cell]
     }
     caged()
 
@@ -26,13 +26,13 @@
 
 def meek():
     """Never denies that it is dead."""
-    members.Members._hear_of_self = lambda self, news: None
+    members.Members._apply_own_update = lambda self, news: None
 
 
 def trusting():
     """Believes datagrams whatever their tag and number."""
     seal.compare_digest = lambda a, b: True
-    seal.Sender.fresh = lambda self, number: True
+    seal.SenderRun.accept = lambda self, number: True
 
 
 def rash():
@@ -59,15 +59,15 @@
 
 def jealous():
     """Of two that have one name it hears only the one that came last."""
-    numbered = seal.Seal._numbered
+    numbered = seal.Seal._check_sequence
 
     def last(self, head):
         lives = self.senders.get(head.sender, ())
-        if any(one.life == head.life for one in lives[:-1]):
+        if any(one.run_id == head.life for one in lives[:-1]):
             raise seal.Unfit("replayed")
         numbered(self, head)
 
-    seal.Seal._numbered = last
+    seal.Seal._check_sequence = last
 
 
 def level():
@@ -90,9 +90,9 @@
         row = _row_of(*given)
         return signals.Row(
             row.mark,
-            min(10**9, int(times * row.unread)),
-            min(10**9, int(times * row.memory)),
-            max(signals.NOTHING, min(100, int(times * row.ill))),
+            min(10**9, int(times * row.prefill_tokens)),
+            min(10**9, int(times * row.kv_tokens)),
+            max(signals.NOT_TRIED, min(100, int(times * row.failure_percent))),
         )
 
     signals.row_of = _row_of if times == 1 else row_of
@@ -105,7 +105,7 @@
 
 def ageless():
     """Takes all news for new, however long they were under way, and never lets them fade."""
-    signals.Ways.took = lambda self, at, now: 0
+    signals.ClockOffset.max_transit = lambda self, at, now: 0
 
 
 def gullible():
--- a/ramppulley/store/__init__.py
+++ b/ramppulley/store/__init__.py
@@ -1,1 +1,1 @@
-"""One durable log on one machine: what a router promised, and a restart must not forget. `frames` is pure."""
+"""A durable log on the local disk, for state that a router must keep over a restart. `frames` does no I/O."""
--- a/ramppulley/store/disk.py
+++ b/ramppulley/store/disk.py
@@ -1,22 +1,22 @@
-"""The one way to a disk of what a router must not forget. The rig puts a lying one in its place."""
+"""All disk access for a router's durable state. Tests replace it with one that injects faults."""
 
 import os
 from pathlib import Path
 
 
 class Disk:
-    """Small files, whole. Every call raises OSError as the machine does."""
+    """Small files, read and replaced whole, and the files of a log. Every method passes on the system's OSError."""
 
-    def read(self, path, most):
-        """The bytes of a file, one more than `most` at most; None if there is none."""
+    def read(self, path, max_size):
+        """The content of a file, at most `max_size` + 1 bytes; None if there is no such file."""
         try:
             with open(path, "rb") as file:
-                return file.read(most + 1)
+                return file.read(max_size + 1)
         except FileNotFoundError:
             return None
 
     def replace(self, path, raw):
-        """The whole file becomes `raw`, durably: old or new after a crash, never a part."""
+        """Replaces the whole file durably and atomically: after a crash it has the old or the new content."""
         path = Path(path)
         new = path.with_name(path.name + ".new")
         with open(new, "wb") as file:
@@ -24,11 +24,11 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(new, path)
-        self._folder(path)
+        self._sync_directory(path)
 
-    # What a log needs beside
+    # Files of a log
     def names(self, folder):
-        """Of the files in a folder, which is made if there is none."""
+        """Sorted names of the files in a folder, which is created if it doesn't exist."""
         Path(folder).mkdir(parents=True, exist_ok=True)
         return sorted(path.name for path in Path(folder).iterdir() if path.is_file())
 
@@ -36,28 +36,28 @@
         return Path(path).read_bytes()
 
     def begin(self, path):
-        """A new file to append to; its name is durable. Raises FileExistsError."""
+        """Creates a file to append to, with a durable directory entry. Raises FileExistsError."""
         file = open(path, "xb", buffering=0)
-        self._folder(path)
+        self._sync_directory(path)
         return file
 
     def write(self, file, raw):
-        """All of it, or OSError."""
+        """Writes all bytes, or raises OSError."""
         view = memoryview(raw)
         while view:
             view = view[file.write(view) :]
 
     def flush(self, file):
-        """What was written is durable. After an OSError nothing is known of it, and a second try would prove nothing."""
+        """Makes all written bytes durable. After an OSError their state is unknown, and a retry would prove nothing."""
         os.fsync(file.fileno())
 
     def remove(self, path):
         os.unlink(path)
-        self._folder(path)
+        self._sync_directory(path)
 
-    def _folder(self, path):
+    def _sync_directory(self, path):
         folder = os.open(Path(path).parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(folder)  # the name too
+            os.fsync(folder)  # makes the directory entry durable
         finally:
             os.close(folder)
--- a/ramppulley/store/frames.py
+++ b/ramppulley/store/frames.py
@@ -1,12 +1,12 @@
-"""How records lie in a segment of the log, and what a segment's bytes prove. Pure: bytes in, records and verdicts out.
+"""Record format of a log segment, and the scan that tells torn tails from corruption. Does no I/O.
 
-A frame is a head, a payload and an xxHash64 over both and the log's identity. The head names the frame's number, the
-epoch of its writer, how far the log was known to be flushed when it was written, and the check of the frame before: so a
-frame of another log, of another place or of an older life does not fit where it stands.
+A frame is a header, a payload and an xxHash64 of both and the log's identity. The header has the record's number, the epoch
+of its writer, the number up to which the log was known to be flushed when it was written, and the checksum of the previous
+frame: so a frame of another log, from another position or of an earlier incarnation of the log doesn't match where it is.
 
-What does not fit is one of two things. A torn tail: bytes of records that nobody was told were flushed; it is passed over.
-Rot: a record is spoilt that a later frame says was flushed, or that stands in a segment that was closed; it is told,
-and has to be made good from a copy.
+Bytes that don't match are one of two things. A torn tail: records whose flush was never confirmed to anybody; it is skipped.
+Corruption: a damaged record that a later frame reports as flushed, or that is in a closed segment; it is reported, and has
+to be restored from a replica.
 """
 
 import struct
@@ -14,16 +14,16 @@
 
 import xxhash
 
-HEAD = struct.Struct("<IQQQIB")  # length of the payload, number, number flushed, check before, epoch, kind
-CHECK = struct.Struct("<Q")
-PAYLOAD_MOST = 1 << 20  # bytes
-IDENTITY = 16  # bytes of a log's identity
-FIRST = 0  # kind of a segment's first frame: its payload says what log and generation it is of
+HEADER = struct.Struct("<IQQQIB")  # payload length, number, flushed number, previous checksum, epoch, kind
+CHECKSUM = struct.Struct("<Q")
+MAX_PAYLOAD = 1 << 20  # bytes
+IDENTITY_SIZE = 16  # bytes
+SEGMENT_HEADER = 0  # kind of a segment's first frame, whose payload has the log's owner and generation
 
 
 @dataclass(frozen=True)
 class Record:
-    """`number`: of this log's records, each one more than the last. `kind`: what the payload is, 1 to 255."""
+    """`number`: consecutive within the log. `kind`: type of the payload, 1 to 255."""
 
     number: int
     epoch: int
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True)
-class Rot:
-    """Numbers from `first` to before `end` cannot be read here; `at` is the byte where it begins."""
+class CorruptRange:
+    """The records from `first` up to, not including, `end` can't be read; `at` is the byte offset of the damage."""
 
     first: int
     end: int
@@ -42,93 +42,95 @@
 
 @dataclass
 class Scan:
-    """What a segment holds. `end`: the byte after its last good frame; `check`: of that frame. `torn`: bytes behind it that
-    prove nothing."""
+    """Content of a segment. `end`: offset after the last valid frame; `checksum`: of that frame; `torn`: size of the torn
+    tail."""
 
     records: list = field(default_factory=list)
-    rots: list = field(default_factory=list)
+    rots: list = field(default_factory=list)  # CorruptRange
     end: int = 0
-    check: int = 0
+    checksum: int = 0
     number: int = 0  # of the next record
-    flushed: int = 0  # the highest number that a frame says was flushed
+    flushed: int = 0  # highest number that a frame reports as flushed
     torn: int = 0
 
 
-def check_of(identity, head, payload):
+def frame_checksum(identity, header, payload):
     digest = xxhash.xxh64(identity)
-    digest.update(head)
+    digest.update(header)
     digest.update(payload)
     return digest.intdigest()
 
 
-def frame(identity, record, flushed, before):
-    """(bytes of a frame, its check). Raises ValueError for a payload over PAYLOAD_MOST."""
-    if len(record.payload) > PAYLOAD_MOST:
-        raise ValueError(f"a record of {len(record.payload)} bytes; {PAYLOAD_MOST} are the most")
-    head = HEAD.pack(len(record.payload), record.number, flushed, before, record.epoch, record.kind)
-    check = check_of(identity, head, record.payload)
-    return head + record.payload + CHECK.pack(check), check
+def encode_frame(identity, record, flushed, previous):
+    """(bytes of a frame, its checksum). Raises ValueError if the payload exceeds MAX_PAYLOAD."""
+    if len(record.payload) > MAX_PAYLOAD:
+        raise ValueError(f"record of {len(record.payload)} bytes exceeds the maximum of {MAX_PAYLOAD}")
+    header = HEADER.pack(len(record.payload), record.number, flushed, previous, record.epoch, record.kind)
+    checksum = frame_checksum(identity, header, record.payload)
+    return header + record.payload + CHECKSUM.pack(checksum), checksum
 
 
-def one(identity, raw, at):
-    """(Record, flushed, check before, check, byte after) of the frame at a byte; None if none stands there."""
-    if at + HEAD.size + CHECK.size > len(raw):
+def decode_frame(identity, raw, at):
+    """(Record, flushed, previous checksum, checksum, end offset) of the frame at an offset; None if there is none."""
+    if at + HEADER.size + CHECKSUM.size > len(raw):
         return None
-    head = raw[at : at + HEAD.size]
-    length, number, flushed, before, epoch, kind = HEAD.unpack(head)
-    end = at + HEAD.size + length + CHECK.size
-    if length > PAYLOAD_MOST or end > len(raw):
+    header = raw[at : at + HEADER.size]
+    length, number, flushed, previous, epoch, kind = HEADER.unpack(header)
+    end = at + HEADER.size + length + CHECKSUM.size
+    if length > MAX_PAYLOAD or end > len(raw):
         return None
-    payload = raw[at + HEAD.size : end - CHECK.size]
-    check = CHECK.unpack_from(raw, end - CHECK.size)[0]
-    if check != check_of(identity, head, payload):
+    payload = raw[at + HEADER.size : end - CHECKSUM.size]
+    checksum = CHECKSUM.unpack_from(raw, end - CHECKSUM.size)[0]
+    if checksum != frame_checksum(identity, header, payload):
         return None
-    return Record(number, epoch, kind, payload), flushed, before, check, end
+    return Record(number, epoch, kind, payload), flushed, previous, checksum, end
 
 
-def scan(identity, raw, number, before, until=None):
-    """The Scan of a segment whose first record has this number, the frame before it that check. `until`: another segment
-    follows, which begins with this number: all before it was flushed, and what stands here behind it never was.
+def scan_segment(identity, raw, number, previous, until=None):
+    """The Scan of a segment, given the number of its first record and the checksum of the frame before it.
 
-    >>> log = b"i" * IDENTITY
-    >>> first, check = frame(log, Record(5, 1, 1, b"a"), 0, 0)
-    >>> second, _ = frame(log, Record(6, 1, 1, b"b"), 5, check)
-    >>> scan(log, first + second[:9], 5, 0).torn, scan(log, first + second, 5, 0).number
+    `until`: first number of the next segment, if there is one: all records before it were flushed, and any frames of this
+    segment from that number on never were.
+
+    >>> log = b"i" * IDENTITY_SIZE
+    >>> first, checksum = encode_frame(log, Record(5, 1, 1, b"a"), 0, 0)
+    >>> second, _ = encode_frame(log, Record(6, 1, 1, b"b"), 5, checksum)
+    >>> scan_segment(log, first + second[:9], 5, 0).torn, scan_segment(log, first + second, 5, 0).number
     (9, 7)
-    >>> scan(log, b"x" + first[1:] + second, 5, 0).rots
-    [Rot(first=5, end=6, at=0)]
+    >>> scan_segment(log, b"x" + first[1:] + second, 5, 0).rots
+    [CorruptRange(first=5, end=6, at=0)]
     """
-    found, at = Scan(check=before, number=number), 0
+    found, at = Scan(checksum=previous, number=number), 0
     while at < len(raw) and found.number != until:
-        told = one(identity, raw, at)
-        if told is not None and (told[0].number, told[2]) == (found.number, found.check):
-            record, flushed, _, found.check, at = told
+        frame = decode_frame(identity, raw, at)
+        if frame is not None and (frame[0].number, frame[2]) == (found.number, found.checksum):
+            record, flushed, _, found.checksum, at = frame
             found.records.append(record)
             found.number, found.flushed, found.end = record.number + 1, max(found.flushed, flushed), at
             continue
-        later = _later(identity, raw, at, found.number)
+        later = _find_later_frame(identity, raw, at, found.number)
         if later is None:
             found.torn = len(raw) - at
             break
-        where, (record, flushed, before, check, end) = later
-        if until is None and flushed < found.number:  # what is spoilt was promised to nobody, nor is what follows it
+        offset, (record, flushed, previous, checksum, end) = later
+        if until is None and flushed < found.number:  # neither the damaged record nor those after it were confirmed
             found.torn = len(raw) - at
             break
-        found.rots.append(Rot(found.number, record.number, at))
-        found.number, found.check, at = record.number, before, where
+        found.rots.append(CorruptRange(found.number, record.number, at))
+        found.number, found.checksum, at = record.number, previous, offset
     if until is not None:
         if found.number < until:
-            found.rots.append(Rot(found.number, until, found.end))
+            found.rots.append(CorruptRange(found.number, until, found.end))
         found.number, found.torn = until, 0
     return found
 
 
-def _later(identity, raw, at, number):
-    """(byte, frame) of the first whole frame behind a byte that is of a later record."""
-    for where in range(at + 1, len(raw) - HEAD.size - CHECK.size + 1):
-        length, its = struct.unpack_from("<IQ", raw, where)
-        if length <= PAYLOAD_MOST and number <= its <= number + len(raw):
-            told = one(identity, raw, where)
-            if told is not None:
-                return where, told
+def _find_later_frame(identity, raw, at, number):
+    """(offset, frame) of the first valid frame after an offset whose number isn't lower than the given one."""
+    for offset in range(at + 1, len(raw) - HEADER.size - CHECKSUM.size + 1):
+        length, frame_number = struct.unpack_from("<IQ", raw, offset)
+        if length <= MAX_PAYLOAD and number <= frame_number <= number + len(raw):
+            frame = decode_frame(identity, raw, offset)
+            if frame is not None:
+                return offset, frame
     return None
--- a/ramppulley/store/log.py
+++ b/ramppulley/store/log.py
@@ -1,10 +1,10 @@
-"""The durable log of one router on one machine: opened, told what to keep, and told when that is flushed.
+"""The durable log of one router on the local disk.
 
-`open_log` reads what is there, before anything listens. `Log.append` returns once its record lies flushed; records that come
-while a flush is under way go together in the next (group commit), in a thread of its own, so that the loop never waits for a
-disk. A flush that failed is never tried again, as a kernel may drop what it could not write and call the next one good
-(Rebello and others, Can Applications Recover from fsync Failures, ATC 2020): its segment is closed where it was known to be
-good, and its records, which nobody was told of, go into a new one.
+`open_log` reads the existing log before the router listens. `Log.append` returns once its record is flushed; records that
+arrive during a flush are written together in the next one (group commit), in a separate thread, so that the event loop never
+waits for the disk. A failed flush is never retried, as a kernel may drop the pages it could not write and report success for
+the next one (Rebello and others, Can Applications Recover from fsync Failures, ATC 2020): its segment is closed at the last
+confirmed record, and later records, none of which was confirmed, go into a new segment.
 """
 
 import asyncio
@@ -14,25 +14,33 @@
 
 import msgspec
 
-from ramppulley.store.frames import FIRST, IDENTITY, Record, Rot, frame, one, scan
-
-MARK = "log.identity"  # the file that says whose log this is
+from ramppulley.store.frames import (
+    IDENTITY_SIZE,
+    SEGMENT_HEADER,
+    CorruptRange,
+    Record,
+    decode_frame,
+    encode_frame,
+    scan_segment,
+)
+
+IDENTITY_FILE = "log.identity"
 VERSION = 1
-MARK_MOST = 4096
+MAX_IDENTITY_FILE_SIZE = 4096
 SUFFIX = ".seg"
 
 
 class Unfit(ValueError):
-    """A folder that is no log of ours. Its text says why; nothing was changed there."""
+    """The folder isn't a log of this router. The message has the reason; nothing was changed in the folder."""
 
 
-class Broken(OSError):
-    """The log takes nothing more: its disk is full, or fails again and again."""
+class LogUnavailable(OSError):
+    """The log accepts no more records: its disk is full or fails repeatedly, or too many records wait."""
 
 
-class Mark(msgspec.Struct):
-    """Whose log it is. `generation`: of its openings; a log that lost its contents begins with another identity. `base`,
-    `check`: the first record that is still wanted, and the check of the frame before it."""
+class LogIdentity(msgspec.Struct):
+    """Content of the identity file. `generation` counts how often the log was opened; a log that lost its content gets a new
+    identity. `base`, `check`: number of the first record still needed, and the checksum of the frame before it."""
 
     version: int
     cluster: str
@@ -43,20 +51,21 @@
     check: int = 0
 
 
-class First(msgspec.Struct, array_like=True):
-    """What a segment begins with."""
+class SegmentHeader(msgspec.Struct, array_like=True):
+    """Payload of a segment's first frame."""
 
     owner: str
     generation: int
 
 
 @dataclass
-class Found:
-    """What an opening found. `new`: there was no log. `rots`: records that cannot be read here and were promised. `torn`:
-    bytes behind the last one, of records promised to nobody; they stay, and the next segment says where to stop."""
+class LogContent:
+    """Content of a log when it was opened. `new`: there was no log. `rots`: ranges of confirmed records that can't be read.
+    `torn`: size of unconfirmed records after the last one; they stay on disk, and the next segment's name supersedes them.
+    """
 
     records: list = field(default_factory=list)
-    rots: list = field(default_factory=list)
+    rots: list = field(default_factory=list)  # CorruptRange
     torn: int = 0
     new: bool = False
     generation: int = 0
@@ -66,7 +75,7 @@
 class _Segment:
     path: object
     first: int  # number of its first record
-    before: int  # check of the frame before that
+    previous: int  # checksum of the frame before that
 
 
 def _name(number):
@@ -74,167 +83,198 @@
 
 
 def mark_of(disk, folder):
-    """The Mark of a folder, None if there is no log; raises Unfit and OSError."""
-    raw = disk.read(folder / MARK, MARK_MOST)
+    """The LogIdentity of a folder, None if there is no log; raises Unfit and OSError."""
+    raw = disk.read(folder / IDENTITY_FILE, MAX_IDENTITY_FILE_SIZE)
     if raw is None:
         return None
     try:
-        mark = msgspec.msgpack.decode(raw, type=Mark)
+        identity = msgspec.msgpack.decode(raw, type=LogIdentity)
     except msgspec.MsgspecError as fault:
-        raise Unfit(f"{folder / MARK}: not readable: {fault}; it is never started over as if empty") from fault
-    if mark.version != VERSION:
-        raise Unfit(f"{folder / MARK}: version {mark.version}; this program reads {VERSION}")
-    if len(mark.identity) != IDENTITY:
-        raise Unfit(f"{folder / MARK}: an identity of {len(mark.identity)} bytes")
-    return mark
+        raise Unfit(
+            f"{folder / IDENTITY_FILE}: not readable: {fault}; an existing log is never replaced by an empty one"
+        ) from fault
+    if identity.version != VERSION:
+        raise Unfit(
+            f"{folder / IDENTITY_FILE}: format version {identity.version}; this program reads version {VERSION}"
+        )
+    if len(identity.identity) != IDENTITY_SIZE:
+        raise Unfit(f"{folder / IDENTITY_FILE}: identity has {len(identity.identity)} bytes instead of {IDENTITY_SIZE}")
+    return identity
 
 
 def read_log(folder, cluster, owner, disk):
-    """(Mark, Found, segments, check of the last frame, number of the next record) without changing anything.
+    """(LogIdentity, LogContent, segments, checksum of the last frame, number of the next record); changes nothing.
 
-    Raises Unfit and OSError. Mark is None where there is no log.
+    Raises Unfit and OSError. The LogIdentity is None if there is no log.
     """
-    mark, names = mark_of(disk, folder), [name for name in disk.names(folder) if name.endswith(SUFFIX)]
-    if mark is None:
+    identity, names = mark_of(disk, folder), [name for name in disk.names(folder) if name.endswith(SUFFIX)]
+    if identity is None:
         if names:
-            raise Unfit(f"{folder}: has {len(names)} segments and no {MARK}; it is never started over as if empty")
-        return None, Found(new=True), [], 0, 0
-    if (mark.cluster, mark.owner) != (cluster, owner):
-        raise Unfit(f"{folder}: the log of router {mark.owner!r} of cluster {mark.cluster!r}")
+            raise Unfit(
+                f"{folder}: has {len(names)} segments and no {IDENTITY_FILE}; "
+                "an existing log is never replaced by an empty one"
+            )
+        return None, LogContent(new=True), [], 0, 0
+    if (identity.cluster, identity.owner) != (cluster, owner):
+        raise Unfit(f"{folder}: log belongs to router {identity.owner!r} of cluster {identity.cluster!r}")
     numbers = sorted(int(name.removesuffix(SUFFIX)) for name in names if name.removesuffix(SUFFIX).isdigit())
-    found, segments, check, number = Found(generation=mark.generation), [], mark.check, mark.base
-    for place, first in enumerate(numbers):
-        until = numbers[place + 1] if place + 1 < len(numbers) else None
+    content, segments, checksum, number = LogContent(generation=identity.generation), [], identity.check, identity.base
+    for index, first in enumerate(numbers):
+        until = numbers[index + 1] if index + 1 < len(numbers) else None
         if first > number:
-            found.rots.append(Rot(number, first, 0))
+            content.rots.append(CorruptRange(number, first, 0))
         raw = disk.whole(folder / _name(first))
-        if first > number:  # the frame before it is lost: what it says of that has to be believed
-            told = one(mark.identity, raw, 0)
-            check = check if told is None else told[2]
-        told = scan(mark.identity, raw, first, check, until)
-        segments.append(_Segment(folder / _name(first), first, check))
-        found.records += [record for record in told.records if record.kind != FIRST]
-        found.rots += told.rots
-        found.torn, check, number = told.torn, told.check, told.number
-    return mark, found, segments, check, number
-
-
-def open_log(folder, cluster, owner, disk, chance, **more):
-    """(Log, Found): the log in a folder, a new one where there is none. Raises Unfit, and OSError as the machine does."""
-    mark, found, segments, check, number = read_log(folder, cluster, owner, disk)
-    if mark is None:
-        mark = Mark(VERSION, cluster, owner, chance.getrandbits(8 * IDENTITY).to_bytes(IDENTITY, "little"), 0)
-    mark.generation += 1
-    disk.replace(folder / MARK, msgspec.msgpack.encode(mark))
-    found.generation = mark.generation
-    return Log(folder, mark, disk, segments, check, number, **more), found
+        if first > number:  # the previous frame is lost: the checksum that this segment has of it can't be verified
+            frame = decode_frame(identity.identity, raw, 0)
+            checksum = checksum if frame is None else frame[2]
+        scan = scan_segment(identity.identity, raw, first, checksum, until)
+        segments.append(_Segment(folder / _name(first), first, checksum))
+        content.records += [record for record in scan.records if record.kind != SEGMENT_HEADER]
+        content.rots += scan.rots
+        content.torn, checksum, number = scan.torn, scan.checksum, scan.number
+    return identity, content, segments, checksum, number
+
+
+def open_log(folder, cluster, owner, disk, rng, **options):
+    """(Log, LogContent) of the log in a folder, created if there is none. Raises Unfit, and OSError from the disk."""
+    identity, content, segments, checksum, number = read_log(folder, cluster, owner, disk)
+    if identity is None:
+        identity = LogIdentity(
+            VERSION, cluster, owner, rng.getrandbits(8 * IDENTITY_SIZE).to_bytes(IDENTITY_SIZE, "little"), 0
+        )
+    identity.generation += 1
+    disk.replace(folder / IDENTITY_FILE, msgspec.msgpack.encode(identity))
+    content.generation = identity.generation
+    return Log(folder, identity, disk, segments, checksum, number, **options), content
 
 
 class Log:
-    """One writer. `segment_most`: bytes after which a new segment begins; `waiting_most`: records that may wait."""
-
-    def __init__(self, folder, mark, disk, segments, check, number, epoch=0, segment_most=8 << 20, waiting_most=10_000):
-        self.folder, self.mark, self.disk, self.segments, self.epoch = folder, mark, disk, segments, epoch
-        # check of the last good frame; number of the next; all before that one are flushed
-        self.check, self.number, self.flushed = check, number, number
-        self.segment_most, self.waiting_most = segment_most, waiting_most
-        self.waiting, self.working, self.file, self.size = [], None, None, 0
-        self.thread, self.broken = ThreadPoolExecutor(1, "log"), None
+    """The log's only writer. `max_segment_size`: bytes after which a new segment begins; `max_pending`: records that may
+    wait for a flush."""
+
+    def __init__(
+        self,
+        folder,
+        identity,
+        disk,
+        segments,
+        checksum,
+        number,
+        epoch=0,
+        max_segment_size=8 << 20,
+        max_pending=10_000,
+    ):
+        self.folder, self.identity, self.disk, self.segments, self.epoch = folder, identity, disk, segments, epoch
+        # checksum of the last valid frame; number of the next record; all before `flushed` are flushed
+        self.checksum, self.number, self.flushed = checksum, number, number
+        self.max_segment_size, self.max_pending = max_segment_size, max_pending
+        self.pending, self.commit_task, self.file, self.size = [], None, None, 0
+        self.executor, self.fatal_error = ThreadPoolExecutor(1, "log"), None
         self.flushes, self.failures, self.bytes = 0, 0, 0
 
     async def append(self, kind, payload):
-        """The record's number, once it is flushed. Raises Broken, ValueError (too large), or OSError if its flush failed."""
-        if self.broken is not None:
-            raise Broken(*self.broken)
-        if len(self.waiting) >= self.waiting_most:
-            raise Broken(errno.EAGAIN, "too much waits for the disk")
-        frame(self.mark.identity, Record(0, 0, kind, payload), 0, 0)  # too large: told now, and to this one alone
+        """Returns the record's number once it is flushed.
+
+        Raises LogUnavailable, ValueError (payload too large), or OSError if its flush failed.
+        """
+        if self.fatal_error is not None:
+            raise LogUnavailable(*self.fatal_error)
+        if len(self.pending) >= self.max_pending:
+            raise LogUnavailable(errno.EAGAIN, "too many records wait for the disk")
+        # raises ValueError for a payload that is too large here, so that it doesn't fail the whole batch
+        encode_frame(self.identity.identity, Record(0, 0, kind, payload), 0, 0)
         done = asyncio.get_running_loop().create_future()
-        self.waiting.append((kind, payload, done))
-        if self.working is None:
-            self.working = asyncio.get_running_loop().create_task(self._work())
+        self.pending.append((kind, payload, done))
+        if self.commit_task is None:
+            self.commit_task = asyncio.get_running_loop().create_task(self._commit_pending())
         return await done
 
-    async def _work(self):
+    async def _commit_pending(self):
         loop = asyncio.get_running_loop()
         try:
-            while self.waiting:
-                batch, self.waiting = self.waiting, []
+            while self.pending:
+                batch, self.pending = self.pending, []
                 try:
-                    first = await loop.run_in_executor(self.thread, self._commit, [one[:2] for one in batch])
+                    first = await loop.run_in_executor(self.executor, self._commit, [entry[:2] for entry in batch])
                 except OSError as fault:
                     for _, _, done in batch:
                         if not done.done():
                             done.set_exception(OSError(fault.errno, fault.strerror))
                     continue
-                for place, (_, _, done) in enumerate(batch):
+                for index, (_, _, done) in enumerate(batch):
                     if not done.done():
-                        done.set_result(first + place)
+                        done.set_result(first + index)
         finally:
-            self.working = None
+            self.commit_task = None
 
     def _commit(self, batch):
-        """In the thread: frames of a batch written and flushed; the number of its first record."""
+        """Writes and flushes a batch, in the executor's thread; returns the number of its first record."""
         try:
-            if self.file is None or self.size >= self.segment_most:
-                self._begin()
-            return self._put(batch)
+            if self.file is None or self.size >= self.max_segment_size:
+                self._begin_segment()
+            return self._write_batch(batch)
         except OSError as fault:
-            self._abandon(fault)
+            self._abandon_segment(fault)
             raise
 
-    def _put(self, batch):
-        number, check, raw = self.number, self.check, []
+    def _write_batch(self, batch):
+        number, checksum, raw = self.number, self.checksum, []
         for kind, payload in batch:
-            told, check = frame(self.mark.identity, Record(number, self.epoch, kind, payload), self.flushed, check)
-            raw.append(told)
+            frame, checksum = encode_frame(
+                self.identity.identity, Record(number, self.epoch, kind, payload), self.flushed, checksum
+            )
+            raw.append(frame)
             number += 1
         whole = b"".join(raw)
         self.disk.write(self.file, whole)
         self.disk.flush(self.file)
-        first, self.number, self.flushed, self.check = self.number, number, number, check
+        first, self.number, self.flushed, self.checksum = self.number, number, number, checksum
         self.size, self.flushes, self.bytes = self.size + len(whole), self.flushes + 1, self.bytes + len(whole)
         return first
 
-    def _begin(self):
-        """A new segment from the next number on: what stands behind that in the one before was promised to nobody."""
+    def _begin_segment(self):
+        """Starts a segment at the next number; frames from that number on in the previous segment were never confirmed."""
         if self.file is not None:
             self.file.close()
             self.file = None
         path = self.folder / _name(self.number)
-        if self.segments and self.segments[-1].first == self.number:  # nothing of it was ever flushed
+        if self.segments and self.segments[-1].first == self.number:  # none of its records was ever flushed
             self.disk.remove(self.segments.pop().path)
         self.file, self.size = self.disk.begin(path), 0
-        self.segments.append(_Segment(path, self.number, self.check))
-        self._put([(FIRST, msgspec.msgpack.encode(First(self.mark.owner, self.mark.generation)))])
-
-    def _abandon(self, fault):
-        """After a failed write or flush nothing is known of what it was to make durable: another segment, another time."""
+        self.segments.append(_Segment(path, self.number, self.checksum))
+        self._write_batch(
+            [(SEGMENT_HEADER, msgspec.msgpack.encode(SegmentHeader(self.identity.owner, self.identity.generation)))]
+        )
+
+    def _abandon_segment(self, fault):
+        """Closes the segment after a failed write or flush, as its tail is in an unknown state; the next batch starts
+        another."""
         self.failures += 1
         if self.file is not None:
             self.file.close()
             self.file = None
         if fault.errno == errno.ENOSPC or self.failures >= 8:
-            self.broken = fault.errno, fault.strerror
-
-    async def forget(self, number):
-        """No record before this one is wanted any more: segments that hold only such are taken away. Raises OSError."""
-        await asyncio.get_running_loop().run_in_executor(self.thread, self._forget, number)
-
-    def _forget(self, number):
-        gone = [one for one, after in zip(self.segments, self.segments[1:]) if after.first <= number]
-        if gone:
-            after = self.segments[len(gone)]
-            mark = msgspec.structs.replace(self.mark, base=after.first, check=after.before)
-            self.disk.replace(self.folder / MARK, msgspec.msgpack.encode(mark))  # first: a crash leaves too much
-            self.mark, self.segments = mark, self.segments[len(gone) :]
-            for one in gone:
-                self.disk.remove(one.path)
+            self.fatal_error = fault.errno, fault.strerror
+
+    async def discard_before(self, number):
+        """Deletes the segments that only have records before this number. Raises OSError."""
+        await asyncio.get_running_loop().run_in_executor(self.executor, self._discard_before, number)
+
+    def _discard_before(self, number):
+        obsolete = [segment for segment, after in zip(self.segments, self.segments[1:]) if after.first <= number]
+        if obsolete:
+            after = self.segments[len(obsolete)]
+            identity = msgspec.structs.replace(self.identity, base=after.first, check=after.previous)
+            # the identity file first: a crash in between leaves segments too many, never too few
+            self.disk.replace(self.folder / IDENTITY_FILE, msgspec.msgpack.encode(identity))
+            self.identity, self.segments = identity, self.segments[len(obsolete) :]
+            for segment in obsolete:
+                self.disk.remove(segment.path)
 
     async def close(self):
-        if self.working is not None:
-            await self.working
-        self.thread.shutdown()
+        if self.commit_task is not None:
+            await self.commit_task
+        self.executor.shutdown()
         if self.file is not None:
             self.file.close()
             self.file = None
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,10 +1,10 @@
-"""Stories of subsets: fair, steady, near, and nobody left out, also while views differ."""
+"""Tests of worker subsets: even load, stability, zone locality, and coverage while views differ."""
 
 from random import Random
 
 import pytest
 
-from ramppulley.cluster.subsets import WARDENS, Peer, Place, View, mark_of, part_of
+from ramppulley.cluster.subsets import GUARANTEED_ROUTERS, Peer, Place, View, mark_of, part_of
 from ramppulley.load.rings import KINDS, Ours, Rendezvous, changed, fairness, fleet, routers, table
 
 
@@ -25,13 +25,13 @@
 @pytest.mark.parametrize("count, shape", [(24, (4, 3, 3)), (64, (8, 4, 4)), (230, (16, 8, 8))])
 def test_one_router_or_worker_more_or_less_moves_at_most_twice_the_least(count, shape):
     peers, places = routers(count), fleet(*shape)
-    for there, then in (
+    for peers_after, places_after in (
         ([*peers, Peer("new", 1)], places),
         (peers[1:], places),
         (peers, places[1:]),
         (peers, [*places, Place(7, "read", places[0].cell, places[0].zone)]),
     ):
-        moved, least, _ = changed(Ours, peers, places, there, then)
+        moved, least, _ = changed(Ours, peers, places, peers_after, places_after)
         assert moved <= 2 * least
 
 
@@ -49,10 +49,10 @@
     places, peers = fleet(8, 4, 4), routers(64)
     view = View(peers, places, 0.25)
     for peer in peers:
-        mine = [p for p in places if p.mark in view.subset(peer)]
-        assert {p.cell for p in mine if p.role == "read"} == {p.cell for p in mine if p.role == "write"}
-    near = sum(p.zone == peer.zone for peer in peers for p in places if p.mark in view.subset(peer))
-    assert near >= 0.9 * sum(len(view.subset(peer)) for peer in peers)
+        used = [p for p in places if p.mark in view.subset(peer)]
+        assert {p.cell for p in used if p.role == "read"} == {p.cell for p in used if p.role == "write"}
+    same_zone = sum(p.zone == peer.zone for peer in peers for p in places if p.mark in view.subset(peer))
+    assert same_zone >= 0.9 * sum(len(view.subset(peer)) for peer in peers)
 
 
 def test_a_zone_that_lost_its_workers_uses_the_others_evenly():
@@ -75,20 +75,20 @@
 
 
 def test_nobody_is_left_out_while_views_differ_by_fewer_dead_ones_than_there_are_wardens():
-    """Each router misses any others, and holds one dead one for living: whoever has the least lot covers the worker."""
-    places, left = fleet(4, 3, 3), 0
+    """Each router's view lacks random others and has a dead one too: the lowest rendezvous hash still covers each worker."""
+    places, uncovered_count = fleet(4, 3, 3), 0
     for seed in range(60):
-        chance = Random(seed)
+        rng = Random(seed)
         living, dead = routers(14), [Peer(f"d{n}", n % 2) for n in range(6)]
         views = {}
         for peer in living:
-            seen = [p for p in living if p.name == peer.name or chance.random() < 0.7]
-            views[peer.name] = View([*seen, *chance.sample(dead, WARDENS - 1)], places, 0.25)
+            seen = [p for p in living if p.name == peer.name or rng.random() < 0.7]
+            views[peer.name] = View([*seen, *rng.sample(dead, GUARANTEED_ROUTERS - 1)], places, 0.25)
         assert not uncovered(views, places, [p.name for p in living])
         for view in views.values():
-            view.wardens, view.used = {place.mark: set() for place in places}, {}
-        left += len(uncovered(views, places, [p.name for p in living][:4]))
-    assert left  # the search would see it: without wardens, and few routers, some are left out
+            view.guaranteed, view.subsets = {place.mark: set() for place in places}, {}
+        uncovered_count += len(uncovered(views, places, [p.name for p in living][:4]))
+    assert uncovered_count  # shows that the test can fail: without guaranteed routers some workers are not covered
 
 
 def test_those_that_are_suspected_are_not_relied_on():
