--- a/ramppulley/cluster/local_member.py
+++ b/ramppulley/cluster/local_member.py
@@ -99,7 +99,10 @@
         self.highest_observed = max(self.highest_observed, incarnation)
 
     def refute(self, update: MemberUpdate) -> bool:
-        """Raises its incarnation above that of an update that calls it suspect, dead or left; whether it did."""
+        """Raises its incarnation above that of an update that contradicts its state; whether it did.
+
+        That is an update with the state suspect, dead or left, or alive with a higher incarnation than ours.
+        """
         if self.silent or self.left:
             return False
         if update.state == "alive" and update.incarnation <= self.incarnation:
--- a/ramppulley/cluster/members.py
+++ b/ramppulley/cluster/members.py
@@ -20,7 +20,7 @@
 from ramppulley.cluster.view_sync import ViewSync
 from ramppulley.cluster.words import Address, InvalidPacket, MemberUpdate, Packet, PacketKind, decode_packet
 
-INCARNATION_LIMIT = 1 << 47  # default limit
+INCARNATION_LIMIT = 1 << 47  # used if the host sets none
 
 PacketHandler = Callable[[int, Address, Packet], None]
 
--- a/ramppulley/store/disk.py
+++ b/ramppulley/store/disk.py
@@ -1,4 +1,4 @@
-"""All disk access for a router's durable state. Tests replace it with one that injects faults."""
+"""All disk access for a router's durable state. Tests and fault-injection runs replace it with one that injects faults."""
 
 import os
 from pathlib import Path
--- a/ramppulley/store/frames.py
+++ b/ramppulley/store/frames.py
@@ -2,7 +2,7 @@
 
 A frame is a header, a payload and an xxHash64 of both and the log's identity. The header has the record's number, the epoch
 of its writer, the number up to which the log was known to be flushed when it was written, and the checksum of the previous
-frame: so a frame of another log, from another position or of an earlier incarnation of the log doesn't match where it is.
+frame: so a frame of another log, from another position or from an earlier history of the log doesn't match where it is.
 
 Bytes that don't match are one of two things. A torn tail: records whose flush was never confirmed to anybody; it is skipped.
 Corruption: a damaged record that a later frame reports as flushed, or that is in a closed segment; it is reported, and has
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,16 +75,20 @@
 
 
 def test_two_lives_of_one_name_heard_in_turn_are_told():
-    ours, one, two = make_seal("a"), make_seal("b", seed=1), make_seal("b", seed=2)
-    for who in (one, two, one, two, one):
-        assert not ours.twice and ours.open(who.seal("members", b"x"))[1] == b"x"
+    ours, first_run, second_run = make_seal("a"), make_seal("b", seed=1), make_seal("b", seed=2)
+    for sender in (first_run, second_run, first_run, second_run, first_run):
+        assert not ours.twice and ours.open(sender.seal("members", b"x"))[1] == b"x"
     assert ours.twice == ["b"]
 
 
 def test_one_who_hears_its_own_name_again_and_again_tells_it():
-    ours, past, other = make_seal("a", incarnation=9), make_seal("a", seed=2, incarnation=3), make_seal("a", seed=3)
-    assert rejection_cause(ours, past.seal("members", b"x")) == "own name" and not ours.twice
-    assert rejection_cause(ours, other.seal("members", b"x")) == "own name" and ours.twice == ["a"]
+    ours, previous_run, other_run = (
+        make_seal("a", incarnation=9),
+        make_seal("a", seed=2, incarnation=3),
+        make_seal("a", seed=3),
+    )
+    assert rejection_cause(ours, previous_run.seal("members", b"x")) == "own name" and not ours.twice
+    assert rejection_cause(ours, other_run.seal("members", b"x")) == "own name" and ours.twice == ["a"]
 
 
 def test_a_view_is_told_page_by_page_within_a_budget():
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -31,8 +31,8 @@
         (peers, places[1:]),
         (peers, [*places, Place(7, "read", places[0].cell, places[0].zone)]),
     ):
-        moved, least, _ = changed(Ours, peers, places, peers_after, places_after)
-        assert moved <= 2 * least
+        moved, minimum, _ = changed(Ours, peers, places, peers_after, places_after)
+        assert moved <= 2 * minimum
 
 
 def test_a_router_that_flaps_at_the_edge_of_a_part_moves_only_itself():
@@ -41,8 +41,8 @@
     for count in (15, 16, 15, 14, 16):
         part = part_of(count, len(places), 12, part)
         assert part == 0.5
-    moved, least, _ = changed(Ours, peers, places, peers[:-1], places)
-    assert moved <= 2 * least
+    moved, minimum, _ = changed(Ours, peers, places, peers[:-1], places)
+    assert moved <= 2 * minimum
 
 
 def test_whole_pairs_are_used_and_a_zone_keeps_to_its_own_workers():
