--- a/ramppulley/cluster/snapshot.py
+++ b/ramppulley/cluster/snapshot.py
@@ -45,13 +45,13 @@
         or raw[:3] != MAGIC
         or blake2b(raw[:-CHECKSUM_SIZE], digest_size=CHECKSUM_SIZE).digest() != raw[-CHECKSUM_SIZE:]
     ):
-        raise Torn("file is truncated, damaged or not a snapshot")
+        raise Torn("torn, or not a snapshot")
     if raw[3] != VERSION:
-        raise Alien(f"snapshot has format version {raw[3]}; this program reads version {VERSION}")
+        raise Alien(f"version {raw[3]}; this program reads {VERSION}")
     try:
         snapshot = msgspec.msgpack.decode(raw[4:-CHECKSUM_SIZE], type=Kept)
     except msgspec.MsgspecError as fault:
         raise Torn(str(fault)) from fault
     if (snapshot.cluster, snapshot.name) != (cluster, name):
-        raise Alien(f"snapshot belongs to router {snapshot.name!r} in cluster {snapshot.cluster!r}")
+        raise Alien(f"of router {snapshot.name!r} in cluster {snapshot.cluster!r}")
     return snapshot
--- a/ramppulley/store/log.py
+++ b/ramppulley/store/log.py
@@ -90,15 +90,11 @@
     try:
         identity = msgspec.msgpack.decode(raw, type=LogIdentity)
     except msgspec.MsgspecError as fault:
-        raise Unfit(
-            f"{folder / IDENTITY_FILE}: not readable: {fault}; an existing log is never replaced by an empty one"
-        ) from fault
+        raise Unfit(f"{folder / IDENTITY_FILE}: not readable: {fault}; it is never started over as if empty") from fault
     if identity.version != VERSION:
-        raise Unfit(
-            f"{folder / IDENTITY_FILE}: format version {identity.version}; this program reads version {VERSION}"
-        )
+        raise Unfit(f"{folder / IDENTITY_FILE}: version {identity.version}; this program reads {VERSION}")
     if len(identity.identity) != IDENTITY_SIZE:
-        raise Unfit(f"{folder / IDENTITY_FILE}: identity has {len(identity.identity)} bytes instead of {IDENTITY_SIZE}")
+        raise Unfit(f"{folder / IDENTITY_FILE}: an identity of {len(identity.identity)} bytes")
     return identity
 
 
@@ -116,7 +112,7 @@
             )
         return None, LogContent(new=True), [], 0, 0
     if (identity.cluster, identity.owner) != (cluster, owner):
-        raise Unfit(f"{folder}: log belongs to router {identity.owner!r} of cluster {identity.cluster!r}")
+        raise Unfit(f"{folder}: the log of router {identity.owner!r} of cluster {identity.cluster!r}")
     numbers = sorted(int(name.removesuffix(SUFFIX)) for name in names if name.removesuffix(SUFFIX).isdigit())
     content, segments, checksum, number = LogContent(generation=identity.generation), [], identity.check, identity.base
     for index, first in enumerate(numbers):
