--- a/ramppulley/store/log.py
+++ b/ramppulley/store/log.py
@@ -107,8 +107,7 @@
     if identity is None:
         if names:
             raise Unfit(
-                f"{folder}: has {len(names)} segments and no {IDENTITY_FILE}; "
-                "an existing log is never replaced by an empty one"
+                f"{folder}: has {len(names)} segments and no {IDENTITY_FILE}; it is never started over as if empty"
             )
         return None, LogContent(new=True), [], 0, 0
     if (identity.cluster, identity.owner) != (cluster, owner):
