--- a/ramppulley/load/soak/__init__.py
+++ b/ramppulley/load/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The randomized fault soak: router processes as operators start them, faults around them, an oracle that reads sockets."""
+"""Randomized fault soak test: real router processes, injected faults, and an oracle that judges the observed traffic."""
--- a/ramppulley/load/soak/discovery.py
+++ b/ramppulley/load/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a run, as the agent on each router's machine: the list, a watch, and their faults."""
+"""Simulated discovery: the agent on each router's machine, which serves the endpoint list, a watch, and their faults."""
 
 import asyncio
 import json
@@ -10,46 +10,49 @@
 from ramppulley.wire import http
 from ramppulley.wire.sockets import Listener, Transport
 
-EMPTY_LINE_S = 2.0
-SLOW_S = (1.0, 2.8)  # of a slow agent's answers; the second is longer than a router waits before its next call
+KEEPALIVE_LINE_S = 2.0
+SLOW_RESPONSE_S = (
+    1.0,
+    2.8,
+)  # delays of a slow agent; the second exceeds the time that a router waits before its next call
 
 
-class Agent:
-    """What one router asks. `entries(router)`: the whole list as that router may have it."""
+class DiscoveryAgent:
+    """The discovery agent of one router. `entries(router)` returns the full list with that router's addresses."""
 
     def __init__(self, router: int, entries: Callable[[int], list[dict[str, Any]]], evidence: Evidence) -> None:
         self.router, self.entries, self.evidence = router, entries, evidence
         self.queues: set[asyncio.Queue[dict[str, Any]]] = set()
         self.faults: dict[str, int] = {}
         self.seq = 40
-        self.slow_s = SLOW_S[router % len(SLOW_S)]
+        self.slow_response_s = SLOW_RESPONSE_S[router % len(SLOW_RESPONSE_S)]
         self.listener = Listener(self._serve).start()
 
-    def move(self) -> tuple[Listener, int]:
-        """Listens elsewhere from now on: the old listener, and the new port."""
+    def move_to_new_port(self) -> tuple[Listener, int]:
+        """Starts listening on a new port; returns the old listener, still open, and the new port."""
         old, self.listener = self.listener, Listener(self._serve).start()
         return old, self.listener.port
 
-    def has(self, fault: str) -> bool:
-        """Whether this fault is on."""
-        return self.faults.get(fault, 0) > 0
+    def has_fault(self, kind: str) -> bool:
+        """Whether a fault of this kind is active."""
+        return self.faults.get(kind, 0) > 0
 
-    def whole(self) -> dict[str, Any]:
-        """The whole list."""
-        seq = 7 if self.has("discovery_versions_back") else self.seq
+    def full_list(self) -> dict[str, Any]:
+        """The full endpoint list as an update message."""
+        seq = 7 if self.has_fault("discovery_versions_back") else self.seq
         return {"seq": seq, "whole": True, "hosts": self.entries(self.router)}
 
-    def tell(self, names: set[str]) -> None:
-        """These workers changed."""
+    def push_changes(self, names: set[str]) -> None:
+        """Sends the changed entries of these workers to all watches."""
         self.seq += 1
         hosts = [entry for entry in self.entries(self.router) if entry["host"] in names]
-        gone = [{"host": name, "health": "Gone"} for name in names - {entry["host"] for entry in hosts}]
-        change = {"seq": self.seq, "whole": False, "hosts": hosts + gone}
+        removed = [{"host": name, "health": "Gone"} for name in names - {entry["host"] for entry in hosts}]
+        change = {"seq": self.seq, "whole": False, "hosts": hosts + removed}
         for queue in self.queues:
-            queue.put_nowait(self.whole() if self.has("discovery_whole_lists") else change)
+            queue.put_nowait(self.full_list() if self.has_fault("discovery_whole_lists") else change)
 
     async def _serve(self, transport: Transport) -> None:
-        if self.has("discovery_refuse"):
+        if self.has_fault("discovery_refuse"):
             transport.reset()
             return
         parser = http.RequestParser(1 << 16)
@@ -58,48 +61,48 @@
             if not data:
                 return
             parser.feed(data)
-        if self.has("discovery_silent"):
+        if self.has_fault("discovery_silent"):
             await asyncio.Event().wait()
         queue: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
         self.queues.add(queue)
-        queue.put_nowait(self.whole())
+        queue.put_nowait(self.full_list())
         try:
             await transport.send(http.answer_head(200, {"content-type": "application/json"}))
             while True:
-                await self._send_next(transport, queue)
+                await self._send_update(transport, queue)
         finally:
             self.queues.discard(queue)
 
-    async def _send_next(self, transport: Transport, queue: asyncio.Queue[dict[str, Any]]) -> None:
+    async def _send_update(self, transport: Transport, queue: asyncio.Queue[dict[str, Any]]) -> None:
         try:
-            async with asyncio.timeout(EMPTY_LINE_S):
+            async with asyncio.timeout(KEEPALIVE_LINE_S):
                 update = await queue.get()
         except TimeoutError:
             update = None
-        if self.has("discovery_slow"):
-            await asyncio.sleep(self.slow_s)
-            if update or not queue.empty():  # what came meanwhile is told with it
+        if self.has_fault("discovery_slow"):
+            await asyncio.sleep(self.slow_response_s)
+            if update or not queue.empty():  # coalesces the updates queued meanwhile
                 while not queue.empty():
                     queue.get_nowait()
-                update = self.whole()
-        if self.has("discovery_silent"):
-            await asyncio.Event().wait()  # this watch has fallen silent for good
+                update = self.full_list()
+        if self.has_fault("discovery_silent"):
+            await asyncio.Event().wait()  # this watch never sends again
         line = json.dumps(update, indent=2).encode() if update else b""
-        if self.has("discovery_torn") and update:
+        if self.has_fault("discovery_torn") and update:
             await transport.send(http.chunk(line[: len(line) // 2]))
             transport.reset()
             raise ConnectionResetError
         await transport.send(http.chunk(line + b"\n"))
-        if update and transport.is_quiet():  # else its router has given this watch up, and never reads it
-            self._note(update)
+        if update and transport.is_quiet():  # otherwise the router has closed this watch and will not read the update
+            self._record_notified(update)
 
-    def _note(self, update: dict[str, Any]) -> None:
-        """What the router has been told by now."""
-        now, named = time.monotonic(), set()
+    def _record_notified(self, update: dict[str, Any]) -> None:
+        """Records the worker health states that the router has been notified of."""
+        now, listed = time.monotonic(), set()
         for entry in update["hosts"]:
-            named.add(entry["host"])
-            self.evidence.told.setdefault((self.router, entry["host"]), []).append((now, entry["health"]))
+            listed.add(entry["host"])
+            self.evidence.notified.setdefault((self.router, entry["host"]), []).append((now, entry["health"]))
         if update["whole"]:
-            for router, worker in list(self.evidence.told):
-                if router == self.router and worker not in named:
-                    self.evidence.told[router, worker].append((now, "Gone"))
+            for router, worker in list(self.evidence.notified):
+                if router == self.router and worker not in listed:
+                    self.evidence.notified[router, worker].append((now, "Gone"))
--- a/ramppulley/load/soak/evidence.py
+++ b/ramppulley/load/soak/evidence.py
@@ -1,23 +1,23 @@
-"""What crossed the sockets of one run: a record for each request, attempt, hold and process. Times: monotonic seconds."""
+"""Observations of one run: a record per request, attempt, KV state and router process. Times are monotonic seconds."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request as its client saw it."""
+    """One request as observed by its client."""
 
-    name: str
+    request_id: str
     router: int
     request_class: str
     deadline_s: float
-    behaviour: str = ""  # of a client that misbehaves
-    sent_at: float = 0.0  # its last byte
-    closed_at: float | None = None  # by the client, before the answer's end
-    first_at: float | None = None  # first byte of the answer
+    client_fault: str = ""  # kind of the client fault; empty for a regular client
+    sent_at: float = 0.0  # last byte of the request
+    client_closed_at: float | None = None  # the client closed before the end of the response
+    response_started_at: float | None = None  # first byte of the response
     ended_at: float | None = None
     status: int = 0
-    whole: bool = False
+    complete: bool = False
     body: bytes = b""
     error: str = ""
     new_connection: bool = True
@@ -26,39 +26,39 @@
 
 @dataclass(slots=True)
 class WorkerAttempt:
-    """One POST as it came to a worker, through the proxy."""
+    """One POST as observed by a worker, behind the fault proxy."""
 
-    name: str
+    request_id: str
     router: int
     worker: str
-    decode: bool
+    is_decode: bool
     first_byte_at: float
-    told_deadline_ms: int
-    arrived_at: float | None = None  # its last byte, at a running worker
-    begun_at: float | None = None  # the decode runs, its effect has happened
+    deadline_ms: int
+    arrived_at: float | None = None  # last byte of the request, once the worker is running
+    generation_started_at: float | None = None  # from here on the decode has had its effect
     ended_at: float | None = None
-    outcome: str = ""  # whole, declined, cut, left, ...
-    clean: bool = True  # no fault touched its answer
+    outcome: str = ""  # "complete", "declined", "no state", "truncated", "corrupt" or "disconnected"
+    fault_free: bool = True  # no fault affected its response
     event_times: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Hold:
-    """KV state at a prefill worker. The clock runs while no decode that arrived waits for it."""
+class KvStateRecord:
+    """KV state at a prefill worker. Its hold time is counted while no decode that arrived is waiting for it."""
 
-    name: str
+    request_id: str
     router: int
-    since: float  # when the clock began to run last
-    waiting: int = 0  # decodes that arrived and were not answered
-    answering: bool = False  # its prefill's own answer is not out yet, and the prefill is out itself
-    longest_s: float = 0.0
-    over: bool = False
-    excused: bool = False
+    clock_started_at: float  # when counting last started
+    waiting_decodes: int = 0  # decodes that arrived and are not answered yet
+    prefill_response_pending: bool = False  # the prefill attempt itself is still open
+    longest_held_s: float = 0.0
+    freed: bool = False
+    exempt: bool = False
 
 
 @dataclass(slots=True)
 class StalledClient:
-    """A client that stopped inside a request and stays."""
+    """A client that stopped sending in the middle of a request and keeps its connection open."""
 
     router: int
     stopped_at: float
@@ -66,41 +66,45 @@
 
 
 @dataclass(slots=True)
-class ProcessLife:
-    """One process of a router."""
+class ProcessRun:
+    """One run of a router's process, from start to exit."""
 
     router: int
     started_at: float
     ready_at: float | None = None
-    term_at: float | None = None
-    kill_at: float | None = None
-    stopped: list[tuple[float, float]] = field(default_factory=list)  # SIGSTOP to SIGCONT
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
+    suspended: list[tuple[float, float]] = field(default_factory=list)  # spans from SIGSTOP to SIGCONT
     ended_at: float | None = None
-    status: int | None = None
+    exit_status: int | None = None
 
 
 @dataclass(slots=True)
 class Evidence:
-    """All of one run."""
+    """All observations of one run."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     attempts: list[WorkerAttempt] = field(default_factory=list)
-    holds: list[Hold] = field(default_factory=list)
+    kv_states: list[KvStateRecord] = field(default_factory=list)
     stalled: list[StalledClient] = field(default_factory=list)
-    lives: list[ProcessLife] = field(default_factory=list)
-    told: dict[tuple[int, str], list[tuple[float, str]]] = field(default_factory=dict)  # (router, worker): when, state
-    changed: dict[str, list[tuple[float, str]]] = field(default_factory=dict)  # worker: when discovery had it, state
-    unreachable: dict[int, list[tuple[float, float]]] = field(default_factory=dict)  # router: spans without discovery
-    flooded: dict[int, list[tuple[float, float]]] = field(
-        default_factory=dict
-    )  # router: spans with a flood of idle clients
-    born: dict[str, float] = field(default_factory=dict)  # workers that started cold during the run
-    lags: list[tuple[float, float]] = field(default_factory=list)  # of the rig's own process: when, seconds late
-    log_faults: list[str] = field(default_factory=list)  # lines by which a router reports a fault of its own
-    log_ends: dict[int, str] = field(default_factory=dict)  # by router: its last lines
-    bad_bodies: list[str] = field(default_factory=list)
-    crowded: bool = False  # a crowd of busy processes beside the routers
-
-    def lag_near(self, at: float, within_s: float = 1.0) -> float:
-        """How late the rig's own loop ran at most about that moment: no router is blamed for it."""
-        return max((lag for when, lag in self.lags if abs(when - at) <= within_s), default=0.0)
+    process_runs: list[ProcessRun] = field(default_factory=list)
+    #: (router, worker): times and health states that the router was sent.
+    notified: dict[tuple[int, str], list[tuple[float, str]]] = field(default_factory=dict)
+    #: Worker: times and health states in discovery.
+    discovery_changes: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
+    #: Router: spans without working discovery.
+    discovery_outages: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
+    #: Router: spans with a flood of idle connections.
+    flood_spans: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
+    #: Workers that started with an empty cache during the run.
+    worker_starts: dict[str, float] = field(default_factory=dict)
+    #: Event loop delays of the test harness: time, seconds.
+    harness_lags: list[tuple[float, float]] = field(default_factory=list)
+    log_fault_lines: list[str] = field(default_factory=list)  # log lines in which a router reports an internal fault
+    log_tails: dict[int, str] = field(default_factory=dict)  # router: its last log lines
+    repeated_id_responses: list[str] = field(default_factory=list)
+    cpu_contended: bool = False  # background CPU load ran beside the routers
+
+    def max_lag_near(self, at: float, within_s: float = 1.0) -> float:
+        """The largest event loop delay of the harness around that time, which is not attributed to the router."""
+        return max((lag for when, lag in self.harness_lags if abs(when - at) <= within_s), default=0.0)
--- a/ramppulley/load/soak/oracle.py
+++ b/ramppulley/load/soak/oracle.py
@@ -1,222 +1,258 @@
-"""The judge of a run: each invariant by its own name, figure and slack, from what crossed the sockets. Pure.
+"""The test oracle: checks each invariant, with its own limit and slack, on the observations of a run. Performs no I/O.
 
-The router's own account is read by one invariant alone (`own_faults`), which names what it reports against itself.
+Only `own_faults` uses the router's log, namely the internal faults that the router reports itself. The rules and terms
+that the docstrings number are the requirements on a router.
 """
 
 from collections.abc import Callable, Iterator
 from math import sqrt
 from typing import NamedTuple
 
-from ramppulley.load.soak.clients import body_of
-from ramppulley.load.soak.evidence import ClientRequest, Evidence, ProcessLife, WorkerAttempt
+from ramppulley.load.soak.clients import expected_body
+from ramppulley.load.soak.evidence import ClientRequest, Evidence, ProcessRun, WorkerAttempt
 
-RIG_SLACK_S = 0.08  # of the rig: its own loop, the kernel, a busy machine
-ANSWER_SLACK_S, GONE_S, TOLD_SLACK_S, HELD_SLACK_S, STALLED_S = 0.5, 0.1, 0.15, 0.3, 3.0
-TOLD_WITHIN_S, READY_S, SHUTDOWN_S, EVENT_S = 6.0, 10.0, 0.7, 0.3
-LOOK_SLACK_S = 0.02  # a client's close and a worker's first byte are noted by one loop, whose lateness is counted apart
-HELD_UP_S = 0.15  # on a machine that is short of CPU, between a router's last look and its write
-MAX_HELD_BACK_SHARE = 0.1
+HARNESS_SLACK_S = 0.08  # for the event loop of the harness, the kernel and a busy machine
+RESPONSE_SLACK_S, CLIENT_GONE_LIMIT_S, DEADLINE_SLACK_S = 0.5, 0.1, 0.15
+KV_STATE_SLACK_S, STALLED_CLIENT_LIMIT_S = 0.3, 3.0
+DISCOVERY_NOTICE_LIMIT_S, READY_LIMIT_S, SIGTERM_ACCEPT_S, EVENT_DELAY_LIMIT_S = 6.0, 10.0, 0.7, 0.3
+#: Between a client's close and a worker's first byte. Both are recorded by one event loop, whose delay is added separately.
+OBSERVATION_SLACK_S = 0.02
+CPU_CONTENTION_SLACK_S = 0.15  # under CPU contention, between a router's last check of the client and its write
+MAX_DELAYED_STREAM_SHARE = 0.1
 
 
-class Rules(NamedTuple):
-    """Figures of the settings that the routers were started with."""
+class OracleLimits(NamedTuple):
+    """Limits that follow from the settings of the routers."""
 
     release_s: float
     drain_grace_s: float
-    cold_s: float
-    cold_window_s: float
-    cold_calls: float  # N: what a cold worker may get in one window at its start
-    repeat_window_s: float  # for which workers drop repeats of the guarded class
+    slow_start_s: float
+    slow_start_window_s: float
+    slow_start_requests: float  # expected requests to a worker in the first window of its slow start
+    repeat_window_s: float  # time for which workers drop repeated requests of the guarded class
 
 
 class Breach(NamedTuple):
-    """One thing that must not happen."""
+    """One violation of an invariant. `detail` begins with the request id, worker or router."""
 
     invariant: str
-    what: str
+    detail: str
 
 
-def judge(evidence: Evidence, rules: Rules) -> list[Breach]:
-    """All breaches of a run."""
-    view = View(evidence, rules)
-    return [Breach(check.__name__, what) for check in INVARIANTS for what in check(view)]
+def check_invariants(evidence: Evidence, limits: OracleLimits) -> list[Breach]:
+    """Returns all violations in a run."""
+    index = EvidenceIndex(evidence, limits)
+    return [Breach(check.__name__, detail) for check in INVARIANTS for detail in check(index)]
 
 
-class View:
-    """The evidence, by what it is asked for."""
+class EvidenceIndex:
+    """The observations of a run, indexed by request id."""
 
-    def __init__(self, evidence: Evidence, rules: Rules) -> None:
-        self.evidence, self.rules = evidence, rules
+    def __init__(self, evidence: Evidence, limits: OracleLimits) -> None:
+        self.evidence, self.limits = evidence, limits
         self.attempts: dict[str, list[WorkerAttempt]] = {}
         for attempt in evidence.attempts:
-            self.attempts.setdefault(attempt.name, []).append(attempt)
-        self.requests = {request.name: request for request in evidence.requests}
+            self.attempts.setdefault(attempt.request_id, []).append(attempt)
+        self.requests = {request.request_id: request for request in evidence.requests}
 
-    def life_at(self, router: int, at: float) -> ProcessLife | None:
-        """The process of a router at that moment."""
-        lives = [life for life in self.evidence.lives if life.router == router and life.started_at <= at]
-        return lives[-1] if lives else None
+    def process_run_at(self, router: int, at: float) -> ProcessRun | None:
+        """The process run of a router at a given time."""
+        runs = [run for run in self.evidence.process_runs if run.router == router and run.started_at <= at]
+        return runs[-1] if runs else None
 
     def killed_during(self, request: ClientRequest) -> bool:
-        """Whether its router's process was ended by SIGKILL under it."""
-        life = self.life_at(request.router, request.sent_at)
+        """Whether the router process received SIGKILL before the request ended."""
+        run = self.process_run_at(request.router, request.sent_at)
         end = request.ended_at or request.sent_at
-        return life is not None and life.kill_at is not None and life.kill_at <= end + 0.05
+        return run is not None and run.sigkill_at is not None and run.sigkill_at <= end + 0.05
 
     def slack(self, at: float) -> float:
-        """What the rig itself may have added about that moment."""
-        return RIG_SLACK_S + self.evidence.lag_near(at)
+        """The delay that the harness itself may have added around that time."""
+        return HARNESS_SLACK_S + self.evidence.max_lag_near(at)
 
 
-def usual(view: View) -> Iterator[ClientRequest]:
-    """Requests of clients that are owed an answer: they wait, and speak in turn."""
-    for request in view.evidence.requests:
-        excused = request.behaviour in ("client_pipeline", "client_never_read", "client_repeat_id")
-        if request.closed_at is None and not excused and not _killed_with_excuse(view, request):
+def answerable_requests(index: EvidenceIndex) -> Iterator[ClientRequest]:
+    """Requests that must be answered: their clients wait for the response and follow the protocol."""
+    for request in index.evidence.requests:
+        exempt = request.client_fault in ("client_pipeline", "client_never_read", "client_repeat_id")
+        if request.client_closed_at is None and not exempt and not _lost_to_permitted_kill(index, request):
             yield request
 
 
-def _killed_with_excuse(view: View, request: ClientRequest) -> bool:
-    """Lost is what SIGKILL finds unanswered of what came over 0.7 s after SIGTERM; what came before has its deadline."""
-    life = view.life_at(request.router, request.sent_at)
-    if not view.killed_during(request) or life is None or life.kill_at is None:
+def _lost_to_permitted_kill(index: EvidenceIndex, request: ClientRequest) -> bool:
+    """Whether a SIGKILL excuses a missing answer.
+
+    It does without a preceding SIGTERM. A request that was sent up to 0.7 s after SIGTERM is excused if its response had
+    started or its deadline was after the kill. A later request is not excused: the router must not accept it.
+    """
+    run = index.process_run_at(request.router, request.sent_at)
+    if not index.killed_during(request) or run is None or run.sigkill_at is None:
         return False
-    if life.term_at is None:
-        return True  # killed outright
-    if request.sent_at > life.term_at + SHUTDOWN_S:
+    if run.sigterm_at is None:
+        return True  # killed without SIGTERM
+    if request.sent_at > run.sigterm_at + SIGTERM_ACCEPT_S:
         return False
-    return request.first_at is not None or request.sent_at + request.deadline_s > life.kill_at
+    return request.response_started_at is not None or request.sent_at + request.deadline_s > run.sigkill_at
 
 
-def final_answer(view: View) -> Iterator[str]:
-    """Rule 1, terms 3 and 5: one final answer, or its stream's begin, by the deadline and half a second."""
-    for request in usual(view):
-        answered_at = request.first_at if request.status else None
-        if answered_at is None and _shut_unread(view, request):
+def final_answer(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 1, terms 3 and 5: a final answer or the start of the stream no later than 0.5 s after the deadline."""
+    for request in answerable_requests(index):
+        answered_at = request.response_started_at if request.status else None
+        if answered_at is None and _closed_during_flood(index, request):
             continue
         if answered_at is None:
-            yield f"{request.name} at n{request.router}: no answer, {request.error or 'the connection ended'}"
+            yield f"{request.request_id} at n{request.router}: no answer, {request.error or 'the connection ended'}"
             continue
-        limit = request.deadline_s + ANSWER_SLACK_S + view.slack(answered_at)
+        limit = request.deadline_s + RESPONSE_SLACK_S + index.slack(answered_at)
         if answered_at - request.sent_at > limit:
-            yield f"{request.name} at n{request.router}: answered after {answered_at - request.sent_at:.2f} s"
+            yield f"{request.request_id} at n{request.router}: answered after {answered_at - request.sent_at:.2f} s"
 
 
-def _shut_unread(view: View, request: ClientRequest) -> bool:
-    """While idle clients fill all descriptors, a new connection may be shut before its request was read."""
-    spans = view.evidence.flooded.get(request.router, [])
-    flooded = any(begin <= request.sent_at <= end for begin, end in spans)
+def _closed_during_flood(index: EvidenceIndex, request: ClientRequest) -> bool:
+    """While idle connections use up all descriptors, a new connection may be closed before its request is read."""
+    spans = index.evidence.flood_spans.get(request.router, [])
+    during_flood = any(begin <= request.sent_at <= end for begin, end in spans)
     return (
-        flooded and request.new_connection and request.name not in view.attempts and request.error != "no end in 12 s"
+        during_flood
+        and request.new_connection
+        and request.request_id not in index.attempts
+        and request.error != "response not finished within 12 s"
     )
 
 
-def whole_stream(view: View) -> Iterator[str]:
-    """A stream that its worker finished arrives whole and unchanged; none is cut while its worker writes well."""
-    for request in usual(view):
+def whole_stream(index: EvidenceIndex) -> Iterator[str]:
+    """A stream that the worker completed arrives complete and unchanged; none is truncated without a worker failure."""
+    for request in answerable_requests(index):
         if request.status != 200:
             continue
-        ran = [attempt for attempt in view.attempts.get(request.name, []) if attempt.decode and attempt.begun_at]
-        if request.whole and request.body != body_of(request.name):
-            yield f"{request.name} at n{request.router}: served what no worker made for it: {request.body[:60]!r}"
-        elif not request.whole and ran and all(attempt.clean and attempt.outcome == "whole" for attempt in ran):
-            yield f"{request.name} at n{request.router}: a stream that its worker finished was cut ({request.error})"
-        elif not request.whole and request.error == "no end in 12 s":
-            yield f"{request.name} at n{request.router}: neither an end nor a close"
-
-
-def served_once(view: View) -> Iterator[str]:
-    """Ids that were used are not served again; nothing is served that no worker ran."""
-    yield from view.evidence.bad_bodies
-    for request in view.evidence.requests:
-        if request.behaviour == "client_pipeline" and request.status == 200 and request.whole:
-            yield f"{request.name} at n{request.router}: two requests at once, and the first was served whole"
-
-
-def no_effect_twice(view: View) -> Iterator[str]:
-    """Rule 2: what may not be repeated runs once at most."""
-    for name, attempts in view.attempts.items():
-        request = view.requests.get(name)
-        begun = [attempt for attempt in attempts if attempt.decode and attempt.begun_at]
-        if request is not None and request.request_class == "lodge" and len(begun) > 1:
-            yield f"{name} at n{request.router}: ran {len(begun)} times, at {', '.join(a.worker for a in begun)}"
-
-
-def repeat_in_window(view: View) -> Iterator[str]:
-    """Rule 2 and term 15: what workers drop as a repeat reaches them while they know it."""
-    for name, attempts in view.attempts.items():
-        request = view.requests.get(name)
-        begun = [attempt for attempt in attempts if attempt.decode and attempt.begun_at and attempt.arrived_at]
-        if request is None or request.request_class != "book" or len(begun) < 2:
+        ran = [
+            attempt
+            for attempt in index.attempts.get(request.request_id, [])
+            if attempt.is_decode and attempt.generation_started_at
+        ]
+        if request.complete and request.body != expected_body(request.request_id):
+            yield f"{request.request_id} at n{request.router}: response not from its worker: {request.body[:60]!r}"
+        elif (
+            not request.complete
+            and ran
+            and all(attempt.fault_free and attempt.outcome == "complete" for attempt in ran)
+        ):
+            yield f"{request.request_id} at n{request.router}: truncated a completed stream ({request.error})"
+        elif not request.complete and request.error == "response not finished within 12 s":
+            yield f"{request.request_id} at n{request.router}: stream neither completed nor closed"
+
+
+def served_once(index: EvidenceIndex) -> Iterator[str]:
+    """A repeated request id is not served again, and neither is a request with another one pipelined behind it."""
+    yield from index.evidence.repeated_id_responses
+    for request in index.evidence.requests:
+        if request.client_fault == "client_pipeline" and request.status == 200 and request.complete:
+            yield f"{request.request_id} at n{request.router}: served the first of two pipelined requests completely"
+
+
+def no_effect_twice(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 2: a request that must not be repeated is executed at most once."""
+    for request_id, attempts in index.attempts.items():
+        request = index.requests.get(request_id)
+        executed = [attempt for attempt in attempts if attempt.is_decode and attempt.generation_started_at]
+        if request is not None and request.request_class == "lodge" and len(executed) > 1:
+            yield f"{request_id} at n{request.router}: ran {len(executed)} times, at {', '.join(a.worker for a in executed)}"
+
+
+def repeat_in_window(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 2 and term 15: retries of a deduplicated request arrive while the workers still recognize the repeat."""
+    for request_id, attempts in index.attempts.items():
+        request = index.requests.get(request_id)
+        executed = [
+            attempt
+            for attempt in attempts
+            if attempt.is_decode and attempt.generation_started_at and attempt.arrived_at
+        ]
+        if request is None or request.request_class != "book" or len(executed) < 2:
             continue
-        times = sorted(attempt.arrived_at or 0.0 for attempt in begun)
-        if times[-1] - times[0] > view.rules.repeat_window_s + view.slack(times[-1]):
-            yield f"{name} at n{request.router}: ran again {times[-1] - times[0]:.2f} s after its first attempt"
+        times = sorted(attempt.arrived_at or 0.0 for attempt in executed)
+        if times[-1] - times[0] > index.limits.repeat_window_s + index.slack(times[-1]):
+            yield f"{request_id} at n{request.router}: ran again {times[-1] - times[0]:.2f} s after its first attempt"
 
 
-def one_attempt_at_a_time(view: View) -> Iterator[str]:
-    """Rule 2: no attempt begins while another of the same request stands on a connection that the router kept open."""
-    for name, attempts in view.attempts.items():
+def one_attempt_at_a_time(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 2: no attempt starts while another of the same request is open on a connection that the router keeps open."""
+    for request_id, attempts in index.attempts.items():
         ordered = sorted(attempts, key=lambda attempt: attempt.first_byte_at)
         for before, after in zip(ordered, ordered[1:]):
             ended = before.ended_at or 0.0
-            if before.outcome == "whole" and before.clean and after.clean and after.first_byte_at < ended - 0.05:
-                yield f"{name}: an attempt at {after.worker} while one was out at {before.worker}"
-
-
-def client_gone(view: View) -> Iterator[str]:
-    """Term 2: no attempt begins over 0.1 s after its client's close."""
-    for name, attempts in view.attempts.items():
-        request = view.requests.get(name)
-        if request is None or request.closed_at is None:
+            if (
+                before.outcome == "complete"
+                and before.fault_free
+                and after.fault_free
+                and after.first_byte_at < ended - 0.05
+            ):
+                yield f"{request_id}: an attempt at {after.worker} while one was open at {before.worker}"
+
+
+def client_gone(index: EvidenceIndex) -> Iterator[str]:
+    """Term 2: no attempt starts more than 0.1 s after the client closed its connection."""
+    for request_id, attempts in index.attempts.items():
+        request = index.requests.get(request_id)
+        if request is None or request.client_closed_at is None:
             continue
         for attempt in attempts:
-            late = attempt.first_byte_at - request.closed_at
-            slack = LOOK_SLACK_S + view.evidence.lag_near(attempt.first_byte_at) + view.evidence.crowded * HELD_UP_S
-            if late > GONE_S + slack + _stopped_before_write(view, attempt):
-                yield f"{name} at n{request.router}: an attempt at {attempt.worker} {late:.2f} s after its client left"
-
-
-def _stopped_before_write(view: View, attempt: WorkerAttempt) -> float:
-    """How long its router may have stood still between its last look at the client and this write: not where it stood still
-    before it had the outcome of the attempt before, as the look comes behind that."""
+            delay_s = attempt.first_byte_at - request.client_closed_at
+            slack = (
+                OBSERVATION_SLACK_S
+                + index.evidence.max_lag_near(attempt.first_byte_at)
+                + index.evidence.cpu_contended * CPU_CONTENTION_SLACK_S
+            )
+            if delay_s > CLIENT_GONE_LIMIT_S + slack + _suspended_before_write_s(index, attempt):
+                yield f"{request_id} at n{request.router}: an attempt at {attempt.worker} {delay_s:.2f} s after the close"
+
+
+def _suspended_before_write_s(index: EvidenceIndex, attempt: WorkerAttempt) -> float:
+    """How long the router may have been suspended between its last check of the client and this write. A suspension before
+    the end of the previous attempt does not count, as the router checks the client after that."""
     earlier = [
-        a.ended_at or 0.0 for a in view.attempts.get(attempt.name, []) if a.first_byte_at < attempt.first_byte_at
+        a.ended_at or 0.0 for a in index.attempts.get(attempt.request_id, []) if a.first_byte_at < attempt.first_byte_at
     ]
-    caused_at = max(earlier, default=0.0)
-    spans = [span for life in view.evidence.lives if life.router == attempt.router for span in life.stopped]
+    previous_ended_at = max(earlier, default=0.0)
+    spans = [span for run in index.evidence.process_runs if run.router == attempt.router for span in run.suspended]
     at = attempt.first_byte_at
-    return sum(end - begin for begin, end in spans if begin >= caused_at and end - 0.02 <= at <= end + 0.3)
+    return sum(end - begin for begin, end in spans if begin >= previous_ended_at and end - 0.02 <= at <= end + 0.3)
 
 
-def deadline_told(view: View) -> Iterator[str]:
-    """Term 4: a worker is told at most what is left to the client."""
-    for name, attempts in view.attempts.items():
-        request = view.requests.get(name)
+def deadline_told(index: EvidenceIndex) -> Iterator[str]:
+    """Term 4: the deadline sent to a worker does not exceed the client's remaining time."""
+    for request_id, attempts in index.attempts.items():
+        request = index.requests.get(request_id)
         for attempt in attempts if request is not None else ():
             assert request is not None
-            left_s = request.deadline_s - (attempt.first_byte_at - request.sent_at)
-            over = attempt.told_deadline_ms / 1000 - left_s
-            if over > TOLD_SLACK_S + view.slack(attempt.first_byte_at):
-                yield f"{name} at n{request.router}: {attempt.worker} was told {over:.2f} s more than is left"
+            remaining_s = request.deadline_s - (attempt.first_byte_at - request.sent_at)
+            excess_s = attempt.deadline_ms / 1000 - remaining_s
+            if excess_s > DEADLINE_SLACK_S + index.slack(attempt.first_byte_at):
+                yield f"{request_id} at n{request.router}: deadline at {attempt.worker} is {excess_s:.2f} s too late"
 
 
-def drained(view: View) -> Iterator[str]:
-    """Rule 3 and terms 7 and 15: nothing new to a worker that drains or is gone, after the grace, which covers 0.15 s for
-    which a router is held up."""
-    for attempt in view.evidence.attempts:
-        due = _told_of_end(view, attempt)
+def drained(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 3, terms 7 and 15: no new attempt at a draining or removed worker after the drain grace, which includes 0.15 s
+    for a suspended router."""
+    for attempt in index.evidence.attempts:
+        due = _notified_of_drain_at(index, attempt)
         if due is None:
             continue
-        late = attempt.first_byte_at - due
-        if late > view.rules.drain_grace_s + view.slack(attempt.first_byte_at):
-            yield f"{attempt.name} at n{attempt.router}: sent to {attempt.worker} {late:.2f} s after it was told to end"
+        delay_s = attempt.first_byte_at - due
+        if delay_s > index.limits.drain_grace_s + index.slack(attempt.first_byte_at):
+            yield (
+                f"{attempt.request_id} at n{attempt.router}: sent to {attempt.worker} "
+                f"{delay_s:.2f} s after the notice of its drain"
+            )
+
 
+def _notified_of_drain_at(index: EvidenceIndex, attempt: WorkerAttempt) -> float | None:
+    """When the router was notified, or should have been, that the worker drains or is gone; None if it was ready.
 
-def _told_of_end(view: View, attempt: WorkerAttempt) -> float | None:
-    """When its router was told, or counts as told, of the state in which the worker then still was."""
-    evidence, at = view.evidence, attempt.first_byte_at
-    changes = [(when, state) for when, state in evidence.changed.get(attempt.worker, []) if when <= at]
+    Notification is due 6 s after the change, or after the end of a discovery outage that overlaps this time."""
+    evidence, at = index.evidence, attempt.first_byte_at
+    changes = [(when, state) for when, state in evidence.discovery_changes.get(attempt.worker, []) if when <= at]
     if not changes or changes[-1][1] == "Ready":
         return None
     since = changes[-1][0]
@@ -224,104 +260,129 @@
         if state == "Ready":
             break
         since = when
-    told = [
+    notified_at = [
         when
-        for when, state in evidence.told.get((attempt.router, attempt.worker), [])
+        for when, state in evidence.notified.get((attempt.router, attempt.worker), [])
         if since <= when and state != "Ready"
     ]
     reachable = since
-    for begin, end in evidence.unreachable.get(attempt.router, []):
-        if begin <= reachable + TOLD_WITHIN_S and end >= reachable:
+    for begin, end in evidence.discovery_outages.get(attempt.router, []):
+        if begin <= reachable + DISCOVERY_NOTICE_LIMIT_S and end >= reachable:
             reachable = end
-    return min([*told, reachable + TOLD_WITHIN_S])
-
-
-def held_state(view: View) -> Iterator[str]:
-    """Rule 5 and term 6: KV state is taken or released in time; a decode that did not arrive stops no clock."""
-    for hold in view.evidence.holds:
-        limit = view.rules.release_s + HELD_SLACK_S + view.slack(hold.since)
-        if not hold.excused and hold.longest_s > limit:
-            yield f"{hold.name} at n{hold.router}: held for {hold.longest_s:.2f} s"
-
-
-def slow_start(view: View) -> Iterator[str]:
-    """Rule 4 and term 1: what a cold worker gets in one window, over all processes, where two thirds had been told."""
-    rules = view.rules
-    calls = rules.cold_calls
-    bound = calls + (3 * sqrt(calls) + 3 if calls < 30 else 2 * sqrt(calls) + 2)
-    for worker, born in view.evidence.born.items():
-        there = [a for a in view.evidence.attempts if a.worker == worker and a.first_byte_at >= born]
-        for first in sorted(attempt.first_byte_at for attempt in there):
-            window = [a for a in there if first <= a.first_byte_at < first + rules.cold_window_s]
-            told = sum(_told_of_start(view, attempt, born) for attempt in window)
-            if first <= born + rules.cold_window_s and len(window) > bound and 3 * told > 2 * len(window):
-                yield f"{worker}: {len(window)} calls in {rules.cold_window_s} s of its slow start, {bound:.1f} allowed"
+    return min([*notified_at, reachable + DISCOVERY_NOTICE_LIMIT_S])
+
+
+def held_state(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 5, term 6: KV state is consumed or released in time; only a decode that arrived stops counting the hold time."""
+    for kv_state in index.evidence.kv_states:
+        limit = index.limits.release_s + KV_STATE_SLACK_S + index.slack(kv_state.clock_started_at)
+        if not kv_state.exempt and kv_state.longest_held_s > limit:
+            yield f"{kv_state.request_id} at n{kv_state.router}: KV state held for {kv_state.longest_held_s:.2f} s"
+
+
+def slow_start(index: EvidenceIndex) -> Iterator[str]:
+    """Rule 4, term 1: the number of requests to a worker in one window of its slow start is limited, over all routers.
+
+    Applies if more than two thirds of the requests came from routers that had been notified of the start."""
+    limits = index.limits
+    expected_requests = limits.slow_start_requests
+    bound = expected_requests + (
+        3 * sqrt(expected_requests) + 3 if expected_requests < 30 else 2 * sqrt(expected_requests) + 2
+    )
+    for worker, started_at in index.evidence.worker_starts.items():
+        worker_attempts = [a for a in index.evidence.attempts if a.worker == worker and a.first_byte_at >= started_at]
+        for first in sorted(attempt.first_byte_at for attempt in worker_attempts):
+            window = [a for a in worker_attempts if first <= a.first_byte_at < first + limits.slow_start_window_s]
+            notified = sum(_notified_of_start(index, attempt, started_at) for attempt in window)
+            if (
+                first <= started_at + limits.slow_start_window_s
+                and len(window) > bound
+                and 3 * notified > 2 * len(window)
+            ):
+                yield (
+                    f"{worker}: {len(window)} requests in {limits.slow_start_window_s} s of its slow start, "
+                    f"{bound:.1f} allowed"
+                )
                 break
 
 
-def _told_of_start(view: View, attempt: WorkerAttempt, born: float) -> bool:
-    """Whether its router had been told, or counted as told, that the worker started anew."""
-    told = [when for when, _ in view.evidence.told.get((attempt.router, attempt.worker), []) if when >= born - 0.01]
-    return min([*told, born + TOLD_WITHIN_S]) <= attempt.first_byte_at
+def _notified_of_start(index: EvidenceIndex, attempt: WorkerAttempt, started_at: float) -> bool:
+    """Whether the router had been notified, or should have been, that the worker had started."""
+    notified_at = [
+        when
+        for when, _ in index.evidence.notified.get((attempt.router, attempt.worker), [])
+        if when >= started_at - 0.01
+    ]
+    return min([*notified_at, started_at + DISCOVERY_NOTICE_LIMIT_S]) <= attempt.first_byte_at
 
 
-def events_in_time(view: View) -> Iterator[str]:
-    """Term 13: an event reaches its client 0.3 s after its worker wrote it, but for one stream in ten."""
+def events_in_time(index: EvidenceIndex) -> Iterator[str]:
+    """Term 13: events reach the client within 0.3 s after the worker wrote them, in at least nine of ten streams."""
     late, streams = [], 0
-    for request in usual(view):
-        ran = [a for a in view.attempts.get(request.name, []) if a.decode and a.event_times and a.clean]
-        if len(ran) != 1 or not request.whole or request.behaviour or request.status != 200:
+    for request in answerable_requests(index):
+        ran = [a for a in index.attempts.get(request.request_id, []) if a.is_decode and a.event_times and a.fault_free]
+        if len(ran) != 1 or not request.complete or request.client_fault or request.status != 200:
             continue
         streams += 1
-        gaps = [got - sent for sent, got in zip(ran[0].event_times, request.event_times)]
-        worst = max(gaps, default=0.0)
-        if worst > EVENT_S + view.slack(ran[0].event_times[-1]):
-            late.append(f"{request.name} {worst:.2f} s")
-    if len(late) > max(1.0, MAX_HELD_BACK_SHARE * streams):
-        yield f"{len(late)} of {streams} streams had an event held back: {', '.join(late[:5])}"
-
-
-def stalled_clients(view: View) -> Iterator[str]:
-    """Term 16: a client that stops inside a request gets its error or a close within 3 s."""
-    for client in view.evidence.stalled:
-        life = view.life_at(client.router, client.stopped_at)
-        killed = life is not None and life.kill_at is not None and life.kill_at < client.stopped_at + STALLED_S
+        delays_s = [received - sent for sent, received in zip(ran[0].event_times, request.event_times)]
+        max_delay_s = max(delays_s, default=0.0)
+        if max_delay_s > EVENT_DELAY_LIMIT_S + index.slack(ran[0].event_times[-1]):
+            late.append(f"{request.request_id} {max_delay_s:.2f} s")
+    if len(late) > max(1.0, MAX_DELAYED_STREAM_SHARE * streams):
+        yield f"{len(late)} of {streams} streams had a delayed event: {', '.join(late[:5])}"
+
+
+def stalled_clients(index: EvidenceIndex) -> Iterator[str]:
+    """Term 16: a client that stops in the middle of a request gets an error or a close within 3 s."""
+    for client in index.evidence.stalled:
+        run = index.process_run_at(client.router, client.stopped_at)
+        killed = (
+            run is not None
+            and run.sigkill_at is not None
+            and run.sigkill_at < client.stopped_at + STALLED_CLIENT_LIMIT_S
+        )
         took = (client.answered_at or 1e9) - client.stopped_at
-        if not killed and took > STALLED_S + view.slack(client.stopped_at + STALLED_S):
-            yield f"n{client.router}: {'nothing' if took > 1e6 else f'{took:.2f} s'} for a client that stopped in a request"
-
-
-def late_taken(view: View) -> Iterator[str]:
-    """Term 18: what came over 0.7 s after SIGTERM is not under way at SIGKILL."""
-    for request in view.evidence.requests:
-        life = view.life_at(request.router, request.sent_at)
-        if life is None or life.term_at is None or request.closed_at is not None:
+        if not killed and took > STALLED_CLIENT_LIMIT_S + index.slack(client.stopped_at + STALLED_CLIENT_LIMIT_S):
+            yield (
+                f"n{client.router}: {'no response' if took > 1e6 else f'{took:.2f} s'} "
+                "for a client that stalled in the middle of a request"
+            )
+
+
+def late_taken(index: EvidenceIndex) -> Iterator[str]:
+    """Term 18: a request that arrives more than 0.7 s after SIGTERM is not accepted, as SIGKILL could interrupt it."""
+    for request in index.evidence.requests:
+        run = index.process_run_at(request.router, request.sent_at)
+        if run is None or run.sigterm_at is None or request.client_closed_at is not None:
             continue
-        late = request.sent_at - life.term_at > SHUTDOWN_S + view.slack(request.sent_at)
-        began = any(a.first_byte_at > request.sent_at for a in view.attempts.get(request.name, []))
-        if late and began and request.behaviour != "client_pipeline":
-            yield f"{request.name} at n{request.router}: taken {request.sent_at - life.term_at:.2f} s after SIGTERM"
-
-
-def processes(view: View) -> Iterator[str]:
-    """No crash, no refused start, ready in time, an orderly end."""
-    for life in view.evidence.lives:
-        if life.ready_at is None and life.kill_at is None and life.term_at is None:
-            yield f"n{life.router}: not ready"
-        elif life.ready_at is not None and life.ready_at - life.started_at > READY_S:
-            yield f"n{life.router}: ready after {life.ready_at - life.started_at:.1f} s"
-        if life.kill_at is None and life.status not in (0, None):
-            yield f"n{life.router}: ended with status {life.status}"
-        if life.term_at is None and life.kill_at is None and life.ended_at is not None:
-            yield f"n{life.router}: ended by itself"
-
-
-def own_faults(view: View) -> Iterator[str]:
-    """A router reports a fault of its own, or that it broke a rule."""
-    yield from view.evidence.log_faults
-
-
-INVARIANTS: tuple[Callable[[View], Iterator[str]], ...] = (
+        late = request.sent_at - run.sigterm_at > SIGTERM_ACCEPT_S + index.slack(request.sent_at)
+        began = any(a.first_byte_at > request.sent_at for a in index.attempts.get(request.request_id, []))
+        if late and began and request.client_fault != "client_pipeline":
+            yield (
+                f"{request.request_id} at n{request.router}: accepted "
+                f"{request.sent_at - run.sigterm_at:.2f} s after SIGTERM"
+            )
+
+
+def processes(index: EvidenceIndex) -> Iterator[str]:
+    """Router processes start, become ready in time, do not crash, and exit with status 0."""
+    for run in index.evidence.process_runs:
+        if run.ready_at is None and run.sigkill_at is None and run.sigterm_at is None:
+            yield f"n{run.router}: not ready"
+        elif run.ready_at is not None and run.ready_at - run.started_at > READY_LIMIT_S:
+            yield f"n{run.router}: ready after {run.ready_at - run.started_at:.1f} s"
+        if run.sigkill_at is None and run.exit_status not in (0, None):
+            yield f"n{run.router}: exited with status {run.exit_status}"
+        if run.sigterm_at is None and run.sigkill_at is None and run.ended_at is not None:
+            yield f"n{run.router}: exited without a signal"
+
+
+def own_faults(index: EvidenceIndex) -> Iterator[str]:
+    """A router reports an internal fault or a violated rule in its log."""
+    yield from index.evidence.log_fault_lines
+
+
+INVARIANTS: tuple[Callable[[EvidenceIndex], Iterator[str]], ...] = (
     final_answer,
     whole_stream,
     served_once,
--- a/ramppulley/load/soak/processes.py
+++ b/ramppulley/load/soak/processes.py
@@ -1,4 +1,4 @@
-"""Router processes as operators start them: their configuration, their signals, what they write, how they end."""
+"""Router processes as operators run them: configuration files, signals, logs and exit status."""
 
 import asyncio
 import json
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from ramppulley.load.soak.evidence import Evidence, ProcessLife
+from ramppulley.load.soak.evidence import Evidence, ProcessRun
 from ramppulley.load.soak.shim import Shim
 from ramppulley.standin.platform_mutants import ENTRY
 
 ROOT = Path(__file__).parents[3]
-READY_POLL_S, LAST_LINES = 0.05, 6
-FAULT_WORDS = (
+READY_POLL_S, LOG_TAIL_LINES = 0.05, 6
+FAULT_PATTERNS = (
     "rule broken",
     "module fault",
     "connector fault",
@@ -27,7 +27,7 @@
 
 
 class RouterProcess:
-    """One router: its address and folder last, its processes come and go."""
+    """One router: it keeps its port and files across restarts of its process."""
 
     def __init__(
         self, number: int, port: int, folder: Path, evidence: Evidence, shim: Shim | None, mutant: str
@@ -35,34 +35,34 @@
         self.number, self.port, self.evidence, self.shim, self.mutant = number, port, evidence, shim, mutant
         self.path, self.log_path = folder / f"n{number}.json", folder / f"n{number}.log"
         self.process: asyncio.subprocess.Process | None = None
-        self.life = ProcessLife(number, 0.0)
+        self.process_run = ProcessRun(number, 0.0)
 
     def configure(self, content: dict[str, Any]) -> None:
-        """Writes the configuration file whole, in place of the one before."""
-        draft = self.path.with_suffix(".new")
-        draft.write_text(json.dumps(content))
-        draft.replace(self.path)
+        """Replaces the configuration file atomically."""
+        temporary = self.path.with_suffix(".new")
+        temporary.write_text(json.dumps(content))
+        temporary.replace(self.path)
 
     async def start(self) -> None:
-        """A new process; `wait_ready` waits for it."""
+        """Starts a new process, without waiting until it is ready."""
         environment = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
         environment |= {"PROXY_CONFIG": str(self.path), "PYTHONPATH": str(ROOT)}
         if self.shim is not None:
             environment |= self.shim.environment()
         module = ["ramppulley", "platform"] if not self.mutant else [ENTRY, self.mutant]
-        self.life = ProcessLife(self.number, time.monotonic())
-        self.evidence.lives.append(self.life)
+        self.process_run = ProcessRun(self.number, time.monotonic())
+        self.evidence.process_runs.append(self.process_run)
         with self.log_path.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", *module, env=environment, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log
             )
 
-    async def wait_ready(self, within_s: float = 15.0) -> None:
-        """Until it listens and says that it is ready; no exception where it does not."""
-        deadline = time.monotonic() + within_s
-        while time.monotonic() < deadline and self.alive():
+    async def wait_ready(self, timeout_s: float = 15.0) -> None:
+        """Waits until the process listens and reports that it is ready; returns without an error on a timeout or exit."""
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and self.is_running():
             if await self._is_ready():
-                self.life.ready_at = time.monotonic()
+                self.process_run.ready_at = time.monotonic()
                 return
             await asyncio.sleep(READY_POLL_S)
 
@@ -80,42 +80,42 @@
         finally:
             writer.close()
 
-    def alive(self) -> bool:
-        """Whether its process runs."""
+    def is_running(self) -> bool:
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Sends a signal, if its process runs."""
-        if self.process is None or not self.alive():
+        """Sends a signal if the process is running, and records the time of SIGTERM and SIGKILL."""
+        if self.process is None or not self.is_running():
             return
-        if number == signal.SIGTERM and self.life.term_at is None:
-            self.life.term_at = time.monotonic()
+        if number == signal.SIGTERM and self.process_run.sigterm_at is None:
+            self.process_run.sigterm_at = time.monotonic()
         if number == signal.SIGKILL:
-            self.life.kill_at = time.monotonic()
+            self.process_run.sigkill_at = time.monotonic()
         self.process.send_signal(number)
 
-    async def wait_end(self, within_s: float) -> None:
-        """Until its process has ended, which is killed after so long."""
+    async def wait_exit(self, timeout_s: float) -> None:
+        """Waits until the process has exited; kills it after the timeout."""
         if self.process is None:
             return
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await self.process.wait()
         except TimeoutError:
             self.signal(signal.SIGKILL)
             await self.process.wait()
-        self.life.ended_at, self.life.status = time.monotonic(), self.process.returncode
+        self.process_run.ended_at, self.process_run.exit_status = time.monotonic(), self.process.returncode
 
-    def log_end(self) -> str:
-        """Its last lines."""
+    def log_tail(self) -> str:
+        """The number of log lines, and the last ones."""
         if not self.log_path.exists():
             return ""
         lines = self.log_path.read_text(errors="replace").splitlines()
-        return "\n".join([f"({len(lines)} lines in all, the last of them:)", *lines[-LAST_LINES:]])
+        return "\n".join([f"({len(lines)} log lines, the last ones:)", *lines[-LOG_TAIL_LINES:]])
 
-    def log_faults(self) -> list[str]:
-        """Lines by which it reports a fault of its own."""
+    def log_fault_lines(self) -> list[str]:
+        """Log lines in which the router reports an internal fault."""
         if not self.log_path.exists():
             return []
         lines = self.log_path.read_text(errors="replace").splitlines()
-        return [f"n{self.number}: {line[:600]}" for line in lines if any(word in line for word in FAULT_WORDS)]
+        return [f"n{self.number}: {line[:600]}" for line in lines if any(pattern in line for pattern in FAULT_PATTERNS)]
--- a/ramppulley/load/soak/schedule.py
+++ b/ramppulley/load/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: typed events drawn from one seed, two or three of which overlap. Pure."""
+"""Fault schedules: typed events drawn from a seed, two or three of which overlap. I/O only in `read` and `write`."""
 
 import random
 from itertools import combinations
@@ -6,17 +6,18 @@
 
 import msgspec
 
-ROUTERS, READERS, WRITERS = 10, 6, 6
-QUIET_S = 1.0  # before the first fault; longer in some schedules
-LENGTH_S, LONG_S = 9.0, 17.0  # of the clients' traffic; a change counts as told after 6 s
+ROUTERS, PREFILL_WORKERS, DECODE_WORKERS = 10, 6, 6
+LEAD_IN_S = 1.0  # fault-free time at the start; longer in some schedules
+LENGTH_S, LONG_LENGTH_S = 9.0, 17.0  # duration of the client traffic; a router must know a discovery change after 6 s
 LONG_SHARE = 0.25
-FEW_DESCRIPTORS, FEW_SHARE = 64, 0.2
-MIN_KINDS, MAX_KINDS = 3, 6  # of faults in one schedule (swarm testing): few kinds meet each other more often
-CROWD_SHARE, CROWD_ROUTERS, CROWD_REQUESTS_PER_S = 0.2, 24, 3.0  # schedules on a machine that is short of CPU
-CROWD_SIZES = (6, 12)  # processes beside the routers that are busy half of the time
+FEW_DESCRIPTORS, FEW_DESCRIPTORS_SHARE = 64, 0.2
+MIN_KINDS, MAX_KINDS = 3, 6  # per schedule (swarm testing): fewer kinds overlap each other more often
+BACKGROUND_LOAD_SHARE = 0.2  # schedules with background CPU load, so that routers compete for the CPU
+BACKGROUND_LOAD_ROUTERS, BACKGROUND_LOAD_REQUESTS_PER_S = 24, 3.0
+BACKGROUND_LOAD_PROCESSES = (6, 12)  # each is busy half of the time
 SWARM_DRAWS = 12
 
-#: What a fault is done to, by its kind.
+#: Fault kinds, grouped by what they affect.
 LINK_FAULTS = (
     "link_delay",
     "link_stall",
@@ -86,7 +87,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: `routers` and `workers` are the numbers of those that it is done to; empty is all."""
+    """One fault. `routers` and `workers` are the numbers of the targets; an empty list means all."""
 
     kind: str
     at_s: float
@@ -95,61 +96,65 @@
     workers: list[int] = []
 
     def overlaps(self, other: "Fault") -> bool:
-        """Whether both are on at some moment."""
+        """Whether both faults are active at the same time."""
         return self.at_s < other.at_s + other.length_s and other.at_s < self.at_s + self.length_s
 
-    def hits(self, router: int) -> bool:
-        """Whether it is done to this router."""
+    def affects(self, router: int) -> bool:
+        """Whether the fault affects this router."""
         return not self.routers or router in self.routers
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """What one run of the soak plays. `mutant`: how all routers are broken on purpose; empty is not."""
+    """The parameters and faults of one soak run. `mutant`: a defect planted in all routers; empty for none."""
 
     seed: int
     faults: list[Fault]
     length_s: float = LENGTH_S
     routers: int = ROUTERS
-    requests_per_s: float = 6.0  # at each router
+    requests_per_s: float = 6.0  # per router
     mutant: str = ""
-    descriptors: int = 256  # that a router may have open
-    crowd: int = 0  # busy processes beside the routers
-    slow_turn_s: float = 0.03  # by which turns of the event loop begin late while `system_slow_turns` is on
+    descriptors: int = 256  # open file limit of a router
+    crowd: int = 0  # background processes that load the CPU
+    slow_turn_s: float = 0.03  # delay of each event loop iteration while `system_slow_turns` is active
 
 
-def draw(seed: int, only: tuple[str, ...] = (), played: dict[tuple[str, str], int] | None = None) -> Schedule:
-    """The schedule of a seed. `played`: how often pairs of kinds overlapped so far; rare ones are drawn first."""
+def draw(seed: int, only: tuple[str, ...] = (), overlap_counts: dict[tuple[str, str], int] | None = None) -> Schedule:
+    """Draws the schedule of a seed. `overlap_counts`: pairs of kinds that overlapped so far; other pairs are preferred."""
     rng = random.Random(seed)
-    kinds = _swarm(rng, only or KINDS, played or {})
-    crowd = rng.choice(CROWD_SIZES) if rng.random() < CROWD_SHARE else 0
-    routers = CROWD_ROUTERS if crowd else ROUTERS
+    kinds = _draw_kinds(rng, only or KINDS, overlap_counts or {})
+    background_load = rng.choice(BACKGROUND_LOAD_PROCESSES) if rng.random() < BACKGROUND_LOAD_SHARE else 0
+    routers = BACKGROUND_LOAD_ROUTERS if background_load else ROUTERS
     faults: list[Fault] = []
-    quiet_s = QUIET_S if rng.random() < 0.8 else 3.0
-    at_s = quiet_s
-    length_s = LONG_S if rng.random() < LONG_SHARE else LENGTH_S
+    lead_in_s = LEAD_IN_S if rng.random() < 0.8 else 3.0
+    at_s = lead_in_s
+    length_s = LONG_LENGTH_S if rng.random() < LONG_SHARE else LENGTH_S
     while at_s < length_s - 2.0:
         for kind in rng.sample(kinds, min(len(kinds), rng.choice((2, 2, 3)))):
             faults.append(_draw_fault(rng, kind, at_s + rng.uniform(0.0, 0.4), routers))
         at_s += rng.uniform(0.8, 1.6)
-    descriptors = FEW_DESCRIPTORS if rng.random() < FEW_SHARE else 256
-    if not crowd:
+    descriptors = FEW_DESCRIPTORS if rng.random() < FEW_DESCRIPTORS_SHARE else 256
+    if not background_load:
         return Schedule(seed, faults, length_s, descriptors=descriptors)
-    return Schedule(seed, faults, length_s, routers, CROWD_REQUESTS_PER_S, descriptors=descriptors, crowd=crowd)
+    return Schedule(
+        seed, faults, length_s, routers, BACKGROUND_LOAD_REQUESTS_PER_S, descriptors=descriptors, crowd=background_load
+    )
 
 
-def _swarm(rng: random.Random, kinds: tuple[str, ...], played: dict[tuple[str, str], int]) -> tuple[str, ...]:
-    """A few of these kinds: of some draws the one of whose pairs the least part was played."""
+def _draw_kinds(
+    rng: random.Random, kinds: tuple[str, ...], overlap_counts: dict[tuple[str, str], int]
+) -> tuple[str, ...]:
+    """Selects a few kinds: of several random draws, the one with the fewest pairs that overlapped before."""
     if len(kinds) <= MAX_KINDS:
         return kinds
     size = rng.randint(MIN_KINDS, MAX_KINDS)
     draws = [tuple(rng.sample(kinds, size)) for _ in range(SWARM_DRAWS)]
-    return min(draws, key=lambda draw: sum(pair in played for pair in combinations(sorted(draw), 2)))
+    return min(draws, key=lambda draw: sum(pair in overlap_counts for pair in combinations(sorted(draw), 2)))
 
 
 def _draw_fault(rng: random.Random, kind: str, at_s: float, count: int) -> Fault:
     length_s = rng.choice((0.3, 0.8, 1.5, 2.5))
     routers = rng.sample(range(count), rng.choice((2, 4, count)))
-    workers = rng.sample(range(READERS + WRITERS), rng.choice((1, 3, 6)))
+    workers = rng.sample(range(PREFILL_WORKERS + DECODE_WORKERS), rng.choice((1, 3, 6)))
     if kind in PROCESS_FAULTS:
         routers, workers, length_s = routers[: rng.choice((1, 2, 3))], [], 4.5
     elif kind in SYSTEM_FAULTS + CLIENT_FAULTS + DISCOVERY_FAULTS:
@@ -164,7 +169,7 @@
 
 
 def pairs_of(schedule: Schedule) -> set[tuple[str, str]]:
-    """The pairs of kinds that overlap in it."""
+    """The pairs of fault kinds that overlap in the schedule."""
     return {
         (min(one.kind, other.kind), max(one.kind, other.kind))
         for i, one in enumerate(schedule.faults)
@@ -174,10 +179,10 @@
 
 
 def read(path: Path) -> Schedule:
-    """A schedule from its file; raises OSError or ValueError."""
+    """Reads a schedule file; raises OSError or ValueError."""
     return msgspec.json.decode(path.read_bytes(), type=Schedule)
 
 
 def write(path: Path, schedule: Schedule) -> None:
-    """Keeps a schedule, to be played again by `./rp soak FILE`."""
+    """Writes a schedule file, which `./rp soak FILE` runs again."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=2) + b"\n")
--- a/ramppulley/load/soak/settings.py
+++ b/ramppulley/load/soak/settings.py
@@ -1,25 +1,26 @@
-"""The configuration that the soak's routers are started with, and the figures that the oracle judges by."""
+"""Settings of the routers in a soak run, and the corresponding limits of the oracle."""
 
 from typing import Any
 
-from ramppulley.load.soak.oracle import Rules
+from ramppulley.load.soak.oracle import OracleLimits
 
-RELEASE_S, DRAIN_GRACE_S, COLD_S, COLD_WINDOW_S, COLD_FROM, COLD_MULTIPLE = 0.5, 0.25, 6.0, 1.5, 0.2, 1.5
-WINDOW_S = 1.0  # for which workers drop repeats of the guarded class
-WORKER_CALLS_PER_S = 10.0  # that a warm worker bears
-RULES = Rules(
+RELEASE_S, DRAIN_GRACE_S = 0.5, 0.25
+SLOW_START_S, SLOW_START_WINDOW_S, SLOW_START_FROM, SLOW_START_MULTIPLE = 6.0, 1.5, 0.2, 1.5
+REPEAT_WINDOW_S = 1.0  # time for which workers drop repeated requests of the guarded class
+WORKER_REQUESTS_PER_S = 10.0  # capacity of a worker after its slow start
+ORACLE_LIMITS = OracleLimits(
     RELEASE_S,
     DRAIN_GRACE_S,
-    COLD_S,
-    COLD_WINDOW_S,
-    COLD_MULTIPLE * WORKER_CALLS_PER_S * COLD_FROM * COLD_WINDOW_S,
-    WINDOW_S,
+    SLOW_START_S,
+    SLOW_START_WINDOW_S,
+    SLOW_START_MULTIPLE * WORKER_REQUESTS_PER_S * SLOW_START_FROM * SLOW_START_WINDOW_S,
+    REPEAT_WINDOW_S,
 )
 
 
-def settings_of(routers: int, other: bool) -> dict[str, Any]:
-    """The settings; `other`: such as a reload brings."""
-    aim_s = 1.4 if other else 1.2
+def router_settings(routers: int, alternative: bool) -> dict[str, Any]:
+    """The settings of a router. `alternative`: a second variant, which a reload may switch to."""
+    latency_target_s = 1.4 if alternative else 1.2
     return {
         "Azs": ["north", "south"],
         "Kinds": ["prefill", "decode"],
@@ -39,14 +40,28 @@
             "SendCap": 4,
         },
         "Lanes": [
-            {"AimS": aim_s, "Credit": 1.0, "Effect": "free", "GiveUpS": 4.0, "Name": "lookup", "Stream": True},
-            {"AimS": aim_s, "Credit": 2.0, "Effect": "single_shot", "GiveUpS": 4.0, "Name": "lodge", "Stream": True},
             {
-                "AimS": aim_s,
+                "AimS": latency_target_s,
+                "Credit": 1.0,
+                "Effect": "free",
+                "GiveUpS": 4.0,
+                "Name": "lookup",
+                "Stream": True,
+            },
+            {
+                "AimS": latency_target_s,
+                "Credit": 2.0,
+                "Effect": "single_shot",
+                "GiveUpS": 4.0,
+                "Name": "lodge",
+                "Stream": True,
+            },
+            {
+                "AimS": latency_target_s,
                 "Credit": 1.5,
                 "Effect": "guarded",
                 "KeyScope": "all",
-                "WindowS": WINDOW_S,
+                "WindowS": REPEAT_WINDOW_S,
                 "GiveUpS": 4.0,
                 "Name": "book",
                 "Stream": True,
@@ -54,11 +69,11 @@
         ],
         "Report": {"Fields": ["lat_ms", "x0", "x1"], "How": "probe"},
         "Rules": {
-            "ColdFrom": COLD_FROM,
-            "ColdS": COLD_S,
+            "ColdFrom": SLOW_START_FROM,
+            "ColdS": SLOW_START_S,
             "DrainGraceS": DRAIN_GRACE_S,
-            "FallMultiple": COLD_MULTIPLE,
-            "FallS": COLD_WINDOW_S,
+            "FallMultiple": SLOW_START_MULTIPLE,
+            "FallS": SLOW_START_WINDOW_S,
         },
         "Specifics": {
             "AimUsPer1000PromptTokens": [40000.0] * 3,
--- a/ramppulley/load/soak/shim.py
+++ b/ramppulley/load/soak/shim.py
@@ -1,4 +1,4 @@
-"""The shim of system calls: built from its C file where a compiler is there, told by a shared file."""
+"""The system call shim: a preloaded library, built if a C compiler is present, and controlled by a shared file."""
 
 import mmap
 import shutil
@@ -9,12 +9,12 @@
 from ramppulley.standin import SHIM_SOURCE
 
 FIELDS, BYTES_PER_FIELD = 16, 8
-SLOW_TURN_FIELD = 9
-FIELD_OF = {"system_accept": 1, "system_connect": 3, "system_setsockopt": 5, "system_socket": 7}
+LOOP_DELAY_FIELD = 9
+FIELD_BY_KIND = {"system_accept": 1, "system_connect": 3, "system_setsockopt": 5, "system_socket": 7}
 
 
 def build(folder: Path) -> Path | None:
-    """The library, or None where no compiler is there or it does not build."""
+    """Builds the library; returns None without a compiler or when the build fails."""
     compiler, library = shutil.which("cc"), folder / "shim.so"
     if compiler is None:
         return None
@@ -23,34 +23,34 @@
 
 
 class Shim:
-    """What one process is told."""
+    """Controls the shim of one process through a memory-mapped file."""
 
     def __init__(self, path: Path, library: Path) -> None:
         path.write_bytes(bytes(FIELDS * BYTES_PER_FIELD))
         self.path, self.library = path, library
         with path.open("r+b") as file:
-            self.map = mmap.mmap(file.fileno(), FIELDS * BYTES_PER_FIELD)
+            self.mapping = mmap.mmap(file.fileno(), FIELDS * BYTES_PER_FIELD)
 
     def environment(self) -> dict[str, str]:
-        """For the process."""
+        """Environment variables that load the shim into the process."""
         return {"LD_PRELOAD": str(self.library), "RP_SHIM_FILE": str(self.path)}
 
     def step_clock(self, seconds: float) -> None:
-        """The wall clock is so far off from now on."""
+        """Offsets the wall clock by a number of seconds; 0 restores it."""
         self._set(0, int(seconds * 1e9))
 
-    def fail(self, kind: str, errno: int, times: int) -> None:
-        """The next calls of this kind fail."""
-        self._set(FIELD_OF[kind], errno)
-        self._set(FIELD_OF[kind] + 1, times)
+    def fail_calls(self, kind: str, errno: int, times: int) -> None:
+        """Makes the next calls of this kind fail, a number of times, with the given errno."""
+        self._set(FIELD_BY_KIND[kind], errno)
+        self._set(FIELD_BY_KIND[kind] + 1, times)
 
-    def slow_turns(self, seconds: float) -> None:
-        """Each turn of its event loop that has something to do begins so late from now on."""
-        self._set(SLOW_TURN_FIELD, int(seconds * 1e9))
+    def delay_event_loop(self, seconds: float) -> None:
+        """Delays each event loop iteration that has work to do; 0 ends the delay."""
+        self._set(LOOP_DELAY_FIELD, int(seconds * 1e9))
 
     def _set(self, field: int, value: int) -> None:
-        struct.pack_into("<q", self.map, field * BYTES_PER_FIELD, value)
+        struct.pack_into("<q", self.mapping, field * BYTES_PER_FIELD, value)
 
     def close(self) -> None:
-        """The run is over."""
-        self.map.close()
+        """Unmaps the control file."""
+        self.mapping.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,52 +1,68 @@
-"""The fault soak: its schedules, its oracle invariant by invariant, and a short fixed run of real processes."""
+"""The fault soak: its schedules, each invariant of its oracle, and short runs with real router processes."""
 
 import dataclasses
 
 import pytest
 
 from ramppulley.load.soak import run, schedule
-from ramppulley.load.soak.evidence import ClientRequest, Evidence, Hold, ProcessLife, StalledClient, WorkerAttempt
-from ramppulley.load.soak.oracle import INVARIANTS, judge
+from ramppulley.load.soak.evidence import (
+    ClientRequest,
+    Evidence,
+    KvStateRecord,
+    ProcessRun,
+    StalledClient,
+    WorkerAttempt,
+)
+from ramppulley.load.soak.oracle import INVARIANTS, check_invariants
 from ramppulley.load.soak.schedule import Fault, Schedule
-from ramppulley.load.soak.settings import RULES
-from ramppulley.load.soak.workers import events_of
+from ramppulley.load.soak.settings import ORACLE_LIMITS
+from ramppulley.load.soak.workers import expected_events
 from ramppulley.standin.platform_mutants import MUTANTS
 
-BODY = b"".join(events_of("q"))
+BODY = b"".join(expected_events("q"))
 
 
-def good():
-    """A run in which one request was served well."""
+def valid_evidence():
+    """Observations of a run in which one request was served correctly."""
     evidence = Evidence()
-    evidence.lives.append(ProcessLife(0, 0.0, ready_at=0.5, term_at=20.0, ended_at=21.0, status=0))
+    evidence.process_runs.append(ProcessRun(0, 0.0, ready_at=0.5, sigterm_at=20.0, ended_at=21.0, exit_status=0))
     evidence.requests.append(
         ClientRequest(
-            "q", 0, "lodge", 2.0, sent_at=10.0, first_at=10.2, ended_at=10.4, status=200, whole=True, body=BODY
+            "q",
+            0,
+            "lodge",
+            2.0,
+            sent_at=10.0,
+            response_started_at=10.2,
+            ended_at=10.4,
+            status=200,
+            complete=True,
+            body=BODY,
         )
     )
     evidence.attempts += [
-        WorkerAttempt("q", 0, "r", False, 10.01, 1900, 10.01, None, 10.1, "whole"),
-        WorkerAttempt("q", 0, "w", True, 10.11, 1800, 10.11, 10.15, 10.4, "whole"),
+        WorkerAttempt("q", 0, "r", False, 10.01, 1900, 10.01, None, 10.1, "complete"),
+        WorkerAttempt("q", 0, "w", True, 10.11, 1800, 10.11, 10.15, 10.4, "complete"),
     ]
-    evidence.holds.append(Hold("q", 0, 10.1, longest_s=0.01, over=True))
+    evidence.kv_states.append(KvStateRecord("q", 0, 10.1, longest_held_s=0.01, freed=True))
     return evidence
 
 
-def changed(where, **fields):
-    def spoil(evidence):
+def with_changed(where, **fields):
+    def apply(evidence):
         entry = getattr(evidence, where)[-1]
         getattr(evidence, where)[-1] = dataclasses.replace(entry, **fields)
 
-    return spoil
+    return apply
 
 
-def added(where, entry):
+def with_added(where, entry):
     return lambda evidence: getattr(evidence, where).append(entry)
 
 
-def cold(evidence):
-    evidence.born["w"] = 10.0
-    evidence.told[0, "w"] = [(10.05, "Ready")]
+def slow_start_overload(evidence):
+    evidence.worker_starts["w"] = 10.0
+    evidence.notified[0, "w"] = [(10.05, "Ready")]
     evidence.attempts += [WorkerAttempt(f"c{n}", 0, "w", True, 10.2 + n / 50, 900) for n in range(40)]
 
 
@@ -56,62 +72,66 @@
     evidence.attempts[-1].event_times = times
     for n in range(2):
         evidence.requests.append(
-            dataclasses.replace(evidence.requests[0], name=f"e{n}", body=b"".join(events_of(f"e{n}")))
+            dataclasses.replace(evidence.requests[0], request_id=f"e{n}", body=b"".join(expected_events(f"e{n}")))
         )
-        evidence.attempts.append(dataclasses.replace(evidence.attempts[1], name=f"e{n}"))
+        evidence.attempts.append(dataclasses.replace(evidence.attempts[1], request_id=f"e{n}"))
 
 
-SPOILT = {
-    "final_answer": changed("requests", status=0, first_at=None, whole=False, error="ConnectionResetError"),
-    "whole_stream": changed("requests", body=b"data: something else\n\n"),
-    "served_once": lambda evidence: evidence.bad_bodies.append("q: an id that was used is served again"),
-    "no_effect_twice": added("attempts", WorkerAttempt("q", 0, "w2", True, 10.45, 1500, 10.45, 10.46, 10.5, "whole")),
+CORRUPTIONS = {
+    "final_answer": with_changed(
+        "requests", status=0, response_started_at=None, complete=False, error="ConnectionResetError"
+    ),
+    "whole_stream": with_changed("requests", body=b"data: something else\n\n"),
+    "served_once": lambda evidence: evidence.repeated_id_responses.append("q: a repeated request id was served again"),
+    "no_effect_twice": with_added(
+        "attempts", WorkerAttempt("q", 0, "w2", True, 10.45, 1500, 10.45, 10.46, 10.5, "complete")
+    ),
     "repeat_in_window": lambda evidence: (
-        changed("requests", request_class="book")(evidence),
-        added("attempts", WorkerAttempt("q", 0, "w2", True, 11.4, 500, 11.4, 11.5, 11.6, "whole"))(evidence),
+        with_changed("requests", request_class="book")(evidence),
+        with_added("attempts", WorkerAttempt("q", 0, "w2", True, 11.4, 500, 11.4, 11.5, 11.6, "complete"))(evidence),
     ),
-    "one_attempt_at_a_time": added(
-        "attempts", WorkerAttempt("q", 0, "w2", False, 10.2, 1500, 10.2, None, 10.3, "whole")
+    "one_attempt_at_a_time": with_added(
+        "attempts", WorkerAttempt("q", 0, "w2", False, 10.2, 1500, 10.2, None, 10.3, "complete")
     ),
-    "client_gone": changed("requests", closed_at=9.8),
-    "deadline_told": changed("attempts", told_deadline_ms=2500),
+    "client_gone": with_changed("requests", client_closed_at=9.8),
+    "deadline_told": with_changed("attempts", deadline_ms=2500),
     "drained": lambda evidence: (
-        evidence.changed.update(w=[(5.0, "Terminating")]),
-        evidence.told.update({(0, "w"): [(5.1, "Terminating")]}),
+        evidence.discovery_changes.update(w=[(5.0, "Terminating")]),
+        evidence.notified.update({(0, "w"): [(5.1, "Terminating")]}),
     ),
-    "held_state": changed("holds", longest_s=1.2),
-    "slow_start": cold,
+    "held_state": with_changed("kv_states", longest_held_s=1.2),
+    "slow_start": slow_start_overload,
     "events_in_time": late_events,
-    "stalled_clients": added("stalled", StalledClient(0, 11.0, 15.0)),
-    "late_taken": changed("lives", term_at=9.0),
-    "processes": changed("lives", status=-11),
-    "own_faults": lambda evidence: evidence.log_faults.append("n0: error rule broken rule=state_held"),
+    "stalled_clients": with_added("stalled", StalledClient(0, 11.0, 15.0)),
+    "late_taken": with_changed("process_runs", sigterm_at=9.0),
+    "processes": with_changed("process_runs", exit_status=-11),
+    "own_faults": lambda evidence: evidence.log_fault_lines.append("n0: error rule broken rule=state_held"),
 }
 
 
 def test_a_run_that_went_well_breaks_nothing():
-    assert judge(good(), RULES) == []
+    assert check_invariants(valid_evidence(), ORACLE_LIMITS) == []
 
 
 @pytest.mark.parametrize("invariant", [check.__name__ for check in INVARIANTS])
 def test_each_invariant_sees_what_it_is_for(invariant):
-    evidence = good()
-    SPOILT[invariant](evidence)
-    assert invariant in {breach.invariant for breach in judge(evidence, RULES)}
+    evidence = valid_evidence()
+    CORRUPTIONS[invariant](evidence)
+    assert invariant in {breach.invariant for breach in check_invariants(evidence, ORACLE_LIMITS)}
 
 
 def test_calls_of_routers_that_were_not_told_of_a_start_are_no_breach():
-    evidence = good()
-    cold(evidence)
-    evidence.told.clear()
-    assert "slow_start" not in {breach.invariant for breach in judge(evidence, RULES)}
+    evidence = valid_evidence()
+    slow_start_overload(evidence)
+    evidence.notified.clear()
+    assert "slow_start" not in {breach.invariant for breach in check_invariants(evidence, ORACLE_LIMITS)}
 
 
 def test_the_rigs_own_lateness_is_laid_to_no_router():
-    evidence = good()
-    evidence.lags.append((13.0, 0.9))
-    evidence.requests[-1].first_at = 10.0 + 2.0 + 0.5 + 0.7
-    assert judge(evidence, RULES) == []
+    evidence = valid_evidence()
+    evidence.harness_lags.append((13.0, 0.9))
+    evidence.requests[-1].response_started_at = 10.0 + 2.0 + 0.5 + 0.7
+    assert check_invariants(evidence, ORACLE_LIMITS) == []
 
 
 def test_a_seed_is_one_schedule_and_its_faults_overlap(tmp_path):
@@ -125,20 +145,20 @@
 def test_few_kinds_meet_in_one_schedule_and_pairs_that_were_played_come_later():
     guided = list(run.draw_all(range(1, 61), (), ""))
     assert all(len({fault.kind for fault in drawn.faults}) <= schedule.MAX_KINDS for drawn in guided)
-    blind = [schedule.draw(seed) for seed in range(1, 61)]
-    met, met_blind = (len(set().union(*map(schedule.pairs_of, drawn))) for drawn in (guided, blind))
-    assert met > 1.1 * met_blind and met > 380
+    independent = [schedule.draw(seed) for seed in range(1, 61)]
+    pairs, independent_pairs = (len(set().union(*map(schedule.pairs_of, drawn))) for drawn in (guided, independent))
+    assert pairs > 1.1 * independent_pairs and pairs > 380
 
 
 def test_a_failing_schedule_is_cut_down_to_what_still_fails(monkeypatch):
     faults = [Fault(kind, 1.0, 1.0) for kind in schedule.KINDS[:8]]
     needed = {faults[2].kind, faults[5].kind}
 
-    def played(one):
-        broken = {"held_state"} if needed <= {fault.kind for fault in one.faults} else set()
-        return type("Played", (), {"invariants": broken})
+    def run_schedule(candidate):
+        violated = {"held_state"} if needed <= {fault.kind for fault in candidate.faults} else set()
+        return type("Verdict", (), {"invariants": violated})
 
-    monkeypatch.setattr(run, "play", played)
+    monkeypatch.setattr(run, "play", run_schedule)
     smallest = run.shrink(Schedule(1, faults), "held_state", lambda _: None)
     assert {fault.kind for fault in smallest.faults} == needed
 
@@ -167,19 +187,19 @@
 
 
 def test_states_of_decodes_that_wait_long_in_their_workers_queues_are_released_on_real_processes():
-    """As in incident 46: the decodes arrive, wait for longer than their states may be held, and are given up."""
-    stuck = [Fault("worker_queue", 0.5, 4.0, workers=[6, 7, 8, 9])]
-    verdict = run.play(Schedule(46, stuck, length_s=4.0, routers=3))
+    """Incident 46: decodes arrive, queue for longer than their KV states may be held, and are cancelled."""
+    queued = [Fault("worker_queue", 0.5, 4.0, workers=[6, 7, 8, 9])]
+    verdict = run.play(Schedule(46, queued, length_s=4.0, routers=3))
     assert verdict.completed > 10 and verdict.invariants == set(), "\n".join(verdict.timelines)
 
 
 @pytest.mark.parametrize("mutant", ["", "impatient_watch"])
 def test_drains_that_a_slow_discovery_tells_are_kept_on_real_processes(mutant):
-    """Dozens of attempts at draining workers, where each call of discovery takes longer than a call is waited for."""
+    """Guards against dozens of attempts at draining workers: each discovery call takes longer than the call timeout."""
     slow = [Fault("discovery_slow", 0.2, 9.0)]
     drains = [Fault("worker_drain", 0.8, 8.0, workers=[0, 1, 6, 7])]
-    cut = [Fault("signal_hup", 0.4, 1.0, [0, 1, 2, 3])]  # discovery elsewhere: the watch is made anew
-    verdict = run.play(Schedule(48, slow + drains + cut, length_s=8.5, routers=4, mutant=mutant))
+    reloads = [Fault("signal_hup", 0.4, 1.0, [0, 1, 2, 3])]  # moves discovery, so that the watch is reopened
+    verdict = run.play(Schedule(48, slow + drains + reloads, length_s=8.5, routers=4, mutant=mutant))
     assert verdict.completed > 30
     assert verdict.invariants == ({"drained"} if mutant else set()), "\n".join(verdict.timelines)
 
