--- a/ramppulley/load/soak/oracle.py
+++ b/ramppulley/load/soak/oracle.py
@@ -80,7 +80,7 @@
 
 
 def _lost_to_permitted_kill(index: EvidenceIndex, request: ClientRequest) -> bool:
-    """Whether a SIGKILL excuses a missing answer.
+    """Whether a SIGKILL excuses a missing response.
 
     It does without a preceding SIGTERM. A request that was sent up to 0.7 s after SIGTERM is excused if its response had
     started or its deadline was after the kill. A later request is not excused: the router must not accept it.
@@ -96,13 +96,13 @@
 
 
 def final_answer(index: EvidenceIndex) -> Iterator[str]:
-    """Rule 1, terms 3 and 5: a final answer or the start of the stream no later than 0.5 s after the deadline."""
+    """Rule 1, terms 3 and 5: a final response or the start of the stream no later than 0.5 s after the deadline."""
     for request in answerable_requests(index):
         answered_at = request.response_started_at if request.status else None
         if answered_at is None and _closed_during_flood(index, request):
             continue
         if answered_at is None:
-            yield f"{request.request_id} at n{request.router}: no answer, {request.error or 'the connection ended'}"
+            yield f"{request.request_id} at n{request.router}: no response, {request.error or 'the connection ended'}"
             continue
         limit = request.deadline_s + RESPONSE_SLACK_S + index.slack(answered_at)
         if answered_at - request.sent_at > limit:
