--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -286,7 +286,7 @@
 
 def test_by_whatever_is_told_a_load_a_wait_and_a_score_move_within_their_bounds():
     """Randomized: peers that lie in concert, compared with the same router without signals."""
-    from ramppulley.rules import PEER_WAIT_SHIFT_MAX, PEER_FAILURE_SCORE, PEER_LOAD_SHIFT_MAX
+    from ramppulley.rules import PEER_FAILURE_SCORE, PEER_LOAD_SHIFT_MAX, PEER_WAIT_SHIFT_MAX
 
     for seed in range(SCRIPTS):
         rng, figures = Random(seed), []
