--- a/ramppulley/load/grid.py
+++ b/ramppulley/load/grid.py
@@ -127,17 +127,17 @@
             self.later(draw.expovariate(1) * self.between, self.question)
 
     # What the module asks for (door.Host)
-    def send(self, view, endpoint, time_out, attempt):
+    def send(self, view, endpoint, timeout, attempt):
         draw, self.sends[attempt] = self.chance, True
         if endpoint in self.silent:
-            self.later(time_out, self.ends, view, attempt, door.TOO_SLOW)
+            self.later(timeout, self.ends, view, attempt, door.TOO_SLOW)
         elif draw.random() < (0.1 if self.busy[endpoint] > 0.75 else 0.01):
             self.later(2 * MS, self.ends, view, attempt, door.NO_ROOM)
         elif attempt.is_prefill:
             self.later((15 + view.prompt / 20) * MS * (1 + self.busy[endpoint]), self.ends, view, attempt, door.READ)
         else:
             first = draw.uniform(20, 80) * MS * (1 + 3 * self.busy[endpoint])
-            self.later(min(first, time_out), self.speaks, view, attempt, first > time_out)
+            self.later(min(first, timeout), self.speaks, view, attempt, first > timeout)
 
     def speaks(self, view, attempt, late):
         if attempt in self.sends:
