--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -6,9 +6,9 @@
 from math import inf, log
 from struct import unpack
 
-#: Estimates of a worker: `prefill_pace` is time per uncached token, `stream_slowness` how much longer its streams take than
+#: Estimates of a worker: `prefill_pace` is time per uncached token, `stream_lateness` how much longer its streams take than
 #: promised, as a part of the promised time, and `stream_time` how long they last.
-Figures = namedtuple("Figures", "memory_load first_token_time prefill_pace queued_tokens stream_slowness stream_time")
+Figures = namedtuple("Figures", "memory_load first_token_time prefill_pace queued_tokens stream_lateness stream_time")
 
 
 class Actor:
--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -237,7 +237,7 @@
                     PEER_LOAD_SHIFT_MAX,
                 )
             wait = self.decode_wait(average, (reported_load or 0) + (others_tokens or 0) / capacity - FULL_MEMORY_SHARE)
-            slowness = max(-0.5, min(1.5, (self.stream_slowness.mean(now) or 1 + average.stream_slowness) - 1))
+            slowness = max(-0.5, min(1.5, (self.stream_slowness.mean(now) or 1 + average.stream_lateness) - 1))
         if self.can_prefill:
             queued_tokens = average.queued_tokens if others_tokens is None else others_tokens
             if peer_report:
@@ -992,7 +992,7 @@
         figures = worker.figures()
         return (
             MEMORY_LOAD_SCORE * figures.memory_load
-            + SLOW_STREAM_SCORE * figures.stream_slowness
+            + SLOW_STREAM_SCORE * figures.stream_lateness
             + self.worker_score(worker, request)
             + figures.first_token_time / request.latency_target
         )
@@ -1096,7 +1096,7 @@
         expected += CROWDED_WAIT_SHARE * max(
             0, median([w.cached_figures.first_token_time for w in ranked]) - figures.first_token_time
         )
-        return expected + SLOW_STREAM_OF_TARGET * max(0, figures.stream_slowness) * target, *best[1:]
+        return expected + SLOW_STREAM_OF_TARGET * max(0, figures.stream_lateness) * target, *best[1:]
 
     def score_prefill(self, request, worker, known, own_group=None):
         """(expected time, score, worker) of a prefill there, which is also put into `known`.
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -226,7 +226,7 @@
         rig.core.first_token(last_attempt(rig))
         rig.clock.run_to(rig.clock.now() + 8)  # the response ends shortly after its first token
         rig.core.attempt_ended(last_attempt(rig), AttemptResult(door.DONE))
-    assert all(w.figures().stream_slowness <= 0 for w in rig.core.router.workers.values())
+    assert all(w.figures().stream_lateness <= 0 for w in rig.core.router.workers.values())
 
 
 def test_a_fault_in_the_module_costs_one_question():
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -329,10 +329,10 @@
                 seed
             )
             assert 0 <= heard_score - score <= PEER_FAILURE_SCORE, seed
-            assert (heard.first_token_time, heard.prefill_pace, heard.stream_slowness) == (
+            assert (heard.first_token_time, heard.prefill_pace, heard.stream_lateness) == (
                 alone.first_token_time,
                 alone.prefill_pace,
-                alone.stream_slowness,
+                alone.stream_lateness,
             ), seed
 
 
