--- a/ramppulley/load/soak/clients.py
+++ b/ramppulley/load/soak/clients.py
@@ -168,7 +168,7 @@
         close_at = None
         if request.client_fault == "client_leave":
             close_at = time.monotonic() + self.rng.choice((0.0, 0.005, 0.02, 0.05, 0.1, 0.4))
-        parser, reusable = http.AnswerParser(1 << 20), False
+        parser, reusable = http.ResponseParser(1 << 20), False
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 while not parser.done:
@@ -228,7 +228,7 @@
             self.evidence.repeated_id_responses.append(f"{request.request_id}: a repeated request id was served again")
 
     async def _read_status(self, transport: Transport, request: ClientRequest) -> None:
-        parser = http.AnswerParser(1 << 20)
+        parser = http.ResponseParser(1 << 20)
         try:
             async with asyncio.timeout(5.0):
                 while not parser.done:
--- a/ramppulley/load/soak/discovery.py
+++ b/ramppulley/load/soak/discovery.py
@@ -67,7 +67,7 @@
         self.queues.add(queue)
         queue.put_nowait(self.full_list())
         try:
-            await transport.send(http.answer_head(200, {"content-type": "application/json"}))
+            await transport.send(http.response_head(200, {"content-type": "application/json"}))
             while True:
                 await self._send_update(transport, queue)
         finally:
--- a/ramppulley/load/soak/workers.py
+++ b/ramppulley/load/soak/workers.py
@@ -16,7 +16,7 @@
 IDLE_FAULTS, IDLE_FAULT_S = ("worker_idle_close", "worker_idle_reset", "worker_idle_forget"), 0.08
 FORGOTTEN_CONNECTION_S = 8.0
 DISCONNECT_POLL_S = 0.004  # interval at which a worker checks whether the router closed the connection
-EVENT_STREAM = http.answer_head(200, {"content-type": "text/event-stream"})
+EVENT_STREAM = http.response_head(200, {"content-type": "text/event-stream"})
 DECLINED = {"srv-declined": "1"}
 CORRUPT_RESPONSE = b"\x00\x01\x02 this is no answer \r\n\r\n"
 
@@ -220,15 +220,15 @@
     async def _handle_control_request(self, connection: LinkConnection, request: http.Request) -> None:
         if request.method == "DELETE":
             self.kv_state_tracker.release(request.target.rpartition("/")[2].replace("%3A", ":"))
-            await connection.send(http.answer(204, {}))
+            await connection.send(http.response(204, {}))
         else:
             body = b'{"lat_ms":12,"x0":0.25,"x1":0.5}' if request.path == platform.LOAD else b""
-            await connection.send(http.answer(200, {}, body))
+            await connection.send(http.response(200, {}, body))
 
     async def _handle_attempt(
         self, router: int, connection: LinkConnection, request: http.Request, first_byte_at: float
     ) -> None:
-        request_id, deadline_ms = request.headers.get(platform.ID, ""), request.headers.get(platform.LIMIT, "0")
+        request_id, deadline_ms = request.headers.get(platform.ID, ""), request.headers.get(platform.DEADLINE, "0")
         attempt = WorkerAttempt(request_id, router, self.name, self.is_decode, first_byte_at, int(deadline_ms))
         attempt.arrived_at = time.monotonic()
         self.evidence.attempts.append(attempt)
@@ -267,29 +267,29 @@
     async def _prefill(self, connection: LinkConnection, attempt: WorkerAttempt) -> None:
         if self.has_fault("worker_decline"):
             attempt.outcome = "declined"
-            await connection.send(http.answer(503, DECLINED))
+            await connection.send(http.response(503, DECLINED))
             return
         if not await self._wait_in_queue(connection, attempt):
             attempt.outcome = "declined"
-            await connection.send(http.answer(504, DECLINED))
+            await connection.send(http.response(504, DECLINED))
             return
         if not await self._work(connection, PREFILL_S):
             attempt.outcome = "disconnected"
             raise ConnectionResetError
         self.kv_state_tracker.add(attempt)
         try:
-            await connection.send(http.answer(202, {}, b'{"cached_tokens":64}'))
+            await connection.send(http.response(202, {}, b'{"cached_tokens":64}'))
         finally:
             self.kv_state_tracker.prefill_answered(attempt.request_id)
 
     async def _decode(self, connection: LinkConnection, attempt: WorkerAttempt) -> None:
         if self.has_fault("worker_decline"):
             attempt.outcome = "declined"
-            await connection.send(http.answer(503, DECLINED))
+            await connection.send(http.response(503, DECLINED))
             return
         if not self.kv_state_tracker.decode_arrived(attempt.request_id):
             attempt.outcome = "no state"
-            await connection.send(http.answer(410, DECLINED))
+            await connection.send(http.response(410, DECLINED))
             return
         try:
             dequeued = await self._wait_in_queue(connection, attempt)
@@ -300,7 +300,7 @@
         if not dequeued:
             self.kv_state_tracker.decode_ended(attempt.request_id, consumed=False)
             attempt.outcome = "declined"
-            await connection.send(http.answer(504, DECLINED))
+            await connection.send(http.response(504, DECLINED))
             return
         if not connected:
             self.kv_state_tracker.decode_ended(attempt.request_id, consumed=False)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -328,9 +328,13 @@
             )
         for (alone, score), (informed, informed_score) in zip(*figures):
             assert abs(informed.load - alone.load) <= PEER_LOAD_SHIFT_MAX + 1e-9, seed
-            assert abs(informed.ahead - alone.ahead) * informed.pace <= PEER_WAIT_SHIFT_MAX + 1e-6, seed
+            assert abs(informed.queued_tokens - alone.queued_tokens) * informed.pace <= PEER_WAIT_SHIFT_MAX + 1e-6, seed
             assert 0 <= informed_score - score <= PEER_FAILURE_SCORE, seed
-            assert (informed.wait, informed.pace, informed.slowness) == (alone.wait, alone.pace, alone.slowness), seed
+            assert (informed.wait, informed.pace, informed.stream_lateness) == (
+                alone.first_token_time,
+                alone.prefill_pace,
+                alone.stream_lateness,
+            ), seed
 
 
 def test_a_router_that_hears_is_replayed_to_the_same_actions(tmp_path):
