--- a/ramppulley/load/grid.py
+++ b/ramppulley/load/grid.py
@@ -1,8 +1,9 @@
-"""The module's CPU an event by size: fleets and routers' shares played on a virtual clock, on two texts of the module.
+"""CPU time per event of the decision module by fleet size and number of routers, for two versions of the module.
 
-Each cell of the grid is one router's part of a made fleet's day, recorded once with the present text and played
-through both texts in turns, so that the ratio comes from the same events in one run. The fleet is a plain model with seeded
-chances; what the other routers send shows in its reports only. Its figures are of the module alone and are called simulated.
+Each grid point simulates one router's share of a fleet's traffic on a virtual clock. It is recorded once with the current
+version and replayed alternately through both versions, so that the ratio comes from the same events in one run. The fleet is
+a simple model with a seeded random generator; the traffic of the other routers shows only in its load reports. The figures
+cover the decision module alone and are labelled as simulated.
 """
 
 import csv
@@ -19,13 +20,13 @@
 from ramppulley.service import events
 
 MS, S = 10, 10_000
-WORKERS, ROUTERS = (12, 24, 48, 72, 144), (1, 8, 64, 230)
-ASKED_EACH = 2.0  # questions a second for each worker of the fleet, all routers together
-CELL = 8  # workers of a cell
-LAW = door.PolicySettings(
+WORKER_COUNTS, ROUTER_COUNTS = (12, 24, 48, 72, 144), (1, 8, 64, 230)
+REQUESTS_PER_S_PER_WORKER = 2.0  # of all routers together
+WORKERS_PER_GROUP = 8
+POLICY_SETTINGS = door.PolicySettings(
     drain_grace=2 * S, cold_from=0.3, cold_for=14 * S, cold_multiple=4.0, cold_window=3 * S, let_go_within=3000, step=40
 )
-CASES = (
+REQUEST_CLASSES = (
     door.RequestClass(1200 * MS, 40 * MS, 6 * S, 30 * MS, 1.0),
     door.RequestClass(2500 * MS, 40 * MS, 12 * S, 40 * MS, 0.4),
     door.RequestClass(2000 * MS, 0, 8 * S, 40 * MS, 0.8, "receipted", "cell", 8 * S),
@@ -34,151 +35,167 @@
 
 @dataclass(frozen=True)
 class Size:
-    """One cell of the grid."""
+    """One grid point."""
 
     workers: int
     routers: int
     questions: int
-    load: float = 1.0  # times the usual traffic; above about 1.4 the fleet is short and lines grow
+    load: float = 1.0  # times the normal traffic; above about 1.4 the fleet lacks capacity and queues grow
     seed: int = 1
-    subset: bool = False  # whether the router uses a part of the list ordinarily
+    subset: bool = False  # whether the router normally uses a subset of the workers
 
 
-LEAST = 12  # workers in a subset
+MIN_SUBSET_WORKERS = 12
 
 
-def usual(size, endpoints):
-    """Marks of the workers that this router uses ordinarily, one of so many alike."""
-    places = [subsets.Place(b.mark, b.role, b.cell, b.zone) for b in endpoints]
+def subset_ids(size, endpoints):
+    """Endpoint ids of this router's subset, where all routers have the same traffic."""
+    places = [subsets.Place(e.mark, e.role, e.cell, e.zone) for e in endpoints]
     peers = [subsets.Peer(f"r{n}", n % 2) for n in range(size.routers)]
-    return subsets.View(peers, places, subsets.part_of(len(peers), len(places), LEAST)).subset(peers[0])
+    return subsets.View(peers, places, subsets.part_of(len(peers), len(places), MIN_SUBSET_WORKERS)).subset(peers[0])
 
 
-class MadeFleet:
-    """A `door.Host` that answers for a whole fleet on a virtual clock; takes the module's events from a heap."""
+class SimulatedFleet:
+    """A `door.Host` that simulates a whole fleet on a virtual clock and delivers the module's events from a heap."""
 
-    def __init__(self, size, make):
-        self.size, self.chance, self.now, self.heap, self.count = size, Random(size.seed), 0, [], 0
-        draw = self.chance
+    def __init__(self, size, make_router):
+        self.size, self.rng, self.now, self.heap, self.scheduled_count = size, Random(size.seed), 0, [], 0
+        rng = self.rng
         self.endpoints = [
             door.Endpoint(
-                mark=draw.getrandbits(32),
+                mark=rng.getrandbits(32),
                 role="read" if i % 2 else "write",
-                cell=i // CELL,
-                zone=i // CELL % 2,
+                cell=i // WORKERS_PER_GROUP,
+                zone=i // WORKERS_PER_GROUP % 2,
                 memory=60_000,
             )
             for i in range(size.workers)
         ]
-        self.busy = {
-            endpoint: draw.uniform(0.2, 0.5) * size.load for endpoint in self.endpoints
-        }  # share of memory, by others
+        self.memory_shares = {  # part of each worker's memory that the other routers use
+            endpoint: rng.uniform(0.2, 0.5) * size.load for endpoint in self.endpoints
+        }
         for endpoint in self.endpoints if size.subset else ():
-            endpoint.usual = endpoint.mark in usual(size, self.endpoints)
-        self.silent, self.sends, self.asked = self.endpoints[2:3], {}, 0
-        self.router = make(
+            endpoint.usual = endpoint.mark in subset_ids(size, self.endpoints)
+        self.unresponsive, self.open_attempts, self.arrived_count = self.endpoints[2:3], {}, 0
+        self.router = make_router(
             self,
             seed=size.seed,
             routers=size.routers,
             zone=0,
-            use_cases=CASES,
-            accounts=[door.TenantShare(ASKED_EACH * size.workers / 2)] * 2,
+            use_cases=REQUEST_CLASSES,
+            accounts=[door.TenantShare(REQUESTS_PER_S_PER_WORKER * size.workers / 2)] * 2,
             permits=door.Capabilities(places=True, longest_wait=2 * S),
-            lawbook=LAW,
+            lawbook=POLICY_SETTINGS,
         )
         self.router.listed(0, self.endpoints)
-        self.between = S * size.routers / (ASKED_EACH * size.workers * size.load)  # two questions of this router
-        self.later(1, self.question)
+        # mean time between two requests of this router
+        self.arrival_interval = S * size.routers / (REQUESTS_PER_S_PER_WORKER * size.workers * size.load)
+        self.schedule(1, self.arrive)
 
-    def later(self, wait, what, *given):
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + max(1, int(wait)), self.count, what, given))
+    def schedule(self, delay, callback, *args):
+        self.scheduled_count += 1  # events that are due at the same time run in the order in which they were scheduled
+        heapq.heappush(self.heap, (self.now + max(1, int(delay)), self.scheduled_count, callback, args))
 
-    def play(self):
-        """Until the questions are asked and all that followed has come; some minutes of the virtual clock at most."""
-        middle, drained = self.size.questions // 2, False
+    def simulate(self):
+        """Runs until all requests have arrived and ended; at most some minutes of the virtual clock.
+
+        Half-way one worker begins to drain, and the unresponsive worker recovers.
+        """
+        half, drained = self.size.questions // 2, False
         while self.heap:
-            self.now, _, what, given = heapq.heappop(self.heap)
-            what(*given)
-            if self.asked >= middle and not drained:
+            self.now, _, callback, args = heapq.heappop(self.heap)
+            callback(*args)
+            if self.arrived_count >= half and not drained:
                 drained, self.endpoints[0].state = True, "draining"
                 self.router.listed(self.now, [self.endpoints[0]])
-                self.silent = []
-            if self.asked >= self.size.questions and not self.router.requests:
+                self.unresponsive = []
+            if self.arrived_count >= self.size.questions and not self.router.requests:
                 return
 
-    def question(self):
-        draw, self.asked = self.chance, self.asked + 1
-        prompt = int(draw.lognormvariate(6.6, 0.7)) + 20
-        text = draw.randrange(12)
+    def arrive(self):
+        rng, self.arrived_count = self.rng, self.arrived_count + 1
+        prompt_tokens = int(rng.lognormvariate(6.6, 0.7)) + 20
+        prefix = rng.randrange(12)
         view = door.RequestView(
-            CASES[draw.choices((0, 1, 2), (6, 3, 1))[0]],
-            prompt,
+            REQUEST_CLASSES[rng.choices((0, 1, 2), (6, 3, 1))[0]],
+            prompt_tokens,
             300,
             20 * S,
-            str(draw.randrange(4000)),
-            f"text {text}" if text < 6 else "",
-            prompt // 2 if text < 6 else 0,
-            account=draw.randrange(2),
+            str(rng.randrange(4000)),
+            f"text {prefix}" if prefix < 6 else "",
+            prompt_tokens // 2 if prefix < 6 else 0,
+            account=rng.randrange(2),
             benefit_share=0.5,
         )
         self.router.arrived(self.now, view)
-        if self.asked < self.size.questions:
-            self.later(draw.expovariate(1) * self.between, self.question)
+        if self.arrived_count < self.size.questions:
+            self.schedule(rng.expovariate(1) * self.arrival_interval, self.arrive)
 
-    # What the module asks for (door.Host)
+    # The methods of door.Host, each followed by the events that it schedules
     def send(self, view, endpoint, time_out, attempt):
-        draw, self.sends[attempt] = self.chance, True
-        if endpoint in self.silent:
-            self.later(time_out, self.ends, view, attempt, door.TOO_SLOW)
-        elif draw.random() < (0.1 if self.busy[endpoint] > 0.75 else 0.01):
-            self.later(2 * MS, self.ends, view, attempt, door.NO_ROOM)
+        rng, self.open_attempts[attempt] = self.rng, True
+        if endpoint in self.unresponsive:
+            self.schedule(time_out, self.end_attempt, view, attempt, door.TOO_SLOW)
+        elif rng.random() < (0.1 if self.memory_shares[endpoint] > 0.75 else 0.01):
+            self.schedule(2 * MS, self.end_attempt, view, attempt, door.NO_ROOM)
         elif attempt.is_prefill:
-            self.later((15 + view.prompt / 20) * MS * (1 + self.busy[endpoint]), self.ends, view, attempt, door.READ)
+            self.schedule(
+                (15 + view.prompt / 20) * MS * (1 + self.memory_shares[endpoint]),
+                self.end_attempt,
+                view,
+                attempt,
+                door.READ,
+            )
         else:
-            first = draw.uniform(20, 80) * MS * (1 + 3 * self.busy[endpoint])
-            self.later(min(first, time_out), self.speaks, view, attempt, first > time_out)
+            time_to_first_token = rng.uniform(20, 80) * MS * (1 + 3 * self.memory_shares[endpoint])
+            self.schedule(
+                min(time_to_first_token, time_out),
+                self.send_first_token,
+                view,
+                attempt,
+                time_to_first_token > time_out,
+            )
 
-    def speaks(self, view, attempt, late):
-        if attempt in self.sends:
-            if late:
-                return self.ends(view, attempt, door.TOO_SLOW)
+    def send_first_token(self, view, attempt, timed_out):
+        if attempt in self.open_attempts:
+            if timed_out:
+                return self.end_attempt(view, attempt, door.TOO_SLOW)
             self.router.first_token(self.now, view, attempt)
-            self.later(self.chance.uniform(0.2, 2.0) * S, self.ends, view, attempt, door.DONE)
+            self.schedule(self.rng.uniform(0.2, 2.0) * S, self.end_attempt, view, attempt, door.DONE)
 
-    def ends(self, view, attempt, outcome):
-        if self.sends.pop(attempt, None):
-            endpoint, draw = attempt.worker.endpoint, self.chance
-            self.busy[endpoint] = min(1.0, max(0.05, self.busy[endpoint] + draw.uniform(-0.05, 0.05)))
+    def end_attempt(self, view, attempt, outcome):
+        if self.open_attempts.pop(attempt, None):
+            endpoint, rng = attempt.worker.endpoint, self.rng
+            self.memory_shares[endpoint] = min(1.0, max(0.05, self.memory_shares[endpoint] + rng.uniform(-0.05, 0.05)))
             report = (
                 None
                 if outcome == door.TOO_SLOW
                 else door.LoadReport(
-                    held=float(draw.randrange(5)),
-                    memory_share=None if endpoint.role == "read" else self.busy[endpoint],
-                    tokens_waiting=draw.uniform(0, 2000) * self.busy[endpoint],
+                    held=float(rng.randrange(5)),
+                    memory_share=None if endpoint.role == "read" else self.memory_shares[endpoint],
+                    tokens_waiting=rng.uniform(0, 2000) * self.memory_shares[endpoint],
                 )
             )
-            kept = view.prompt // 2 if outcome == door.READ and draw.random() < 0.9 else 0
-            self.router.outcome(self.now, view, attempt, outcome, outcome == door.DONE, kept, report)
+            cached_tokens = view.prompt // 2 if outcome == door.READ and rng.random() < 0.9 else 0
+            self.router.outcome(self.now, view, attempt, outcome, outcome == door.DONE, cached_tokens, report)
 
     def hold_place(self, view, endpoint):
-        self.later(3 * MS, self.placed, view, endpoint, self.chance.random() < 0.95)
+        self.schedule(3 * MS, self.answer_reservation, view, endpoint, self.rng.random() < 0.95)
 
-    def placed(self, view, endpoint, held):
-        self.router.place(self.now, view, endpoint, held)
+    def answer_reservation(self, view, endpoint, reserved):
+        self.router.place(self.now, view, endpoint, reserved)
 
     def withdraw(self, view, attempt):
-        self.later(2 * MS, self.ends, view, attempt, door.UNDONE)
+        self.schedule(2 * MS, self.end_attempt, view, attempt, door.UNDONE)
 
     def remind(self, wait, note):
-        self.later(wait, self.reminded, note)
+        self.schedule(wait, self.fire_timer, note)
 
-    def reminded(self, note):
+    def fire_timer(self, note):
         self.router.reminded(self.now, note)
 
     def probe(self, endpoint):
-        raise AssertionError("these routers may not probe")
+        raise AssertionError("a router without the probe capability sent a probe")
 
     def let_go(self, view):
         pass
@@ -194,103 +211,122 @@
 
 
 def record(size, path):
-    """One cell's day as a record of events."""
-    fleet = MadeFleet(size, lambda host, **more: events.Recorder(Router, path, host, **more, about=f"{size}"))
-    fleet.play()
+    """Simulates one grid point and records its events in the file."""
+    fleet = SimulatedFleet(size, lambda host, **kwargs: events.Recorder(Router, path, host, **kwargs, about=f"{size}"))
+    fleet.simulate()
     fleet.router.close()
     return path
 
 
-def measure(size, path, texts, rounds):
-    """{text: {event: (times, us each)}}: the least of some rounds, the texts in turns; raises Difference."""
-    least = {}
-    for _ in range(rounds):
-        for name, router in texts.items():
-            for event, (times, cpu) in replay.replay(path, router).items():
-                us = cpu / times * 1e6
-                before = least.setdefault(name, {}).get(event, (times, us))
-                least[name][event] = times, min(us, before[1])
-    return least
-
-
-def each(told):
-    """us an event over all kinds."""
-    return sum(times * us for times, us in told.values()) / sum(times for times, _ in told.values())
-
-
-def asked(told):
-    """us a question, all its events together."""
-    return sum(times * us for times, us in told.values()) / told["arrived"][0]
+def measure(size, path, versions, rounds):
+    """{version: {event: (count, microseconds per event)}}: the minimum of several rounds, the versions in turn.
 
-
-def run(folder, texts, *, workers=WORKERS, routers=ROUTERS, questions=300, load=1.0, rounds=2, say=print, subset=False):
-    """The whole grid into folder/cost.csv (a row a cell, text and kind) and folder/cost.svg; returns the cells' means."""
+    Raises replay.Difference.
+    """
+    min_costs = {}
+    for _ in range(rounds):
+        for name, router in versions.items():
+            for event, (count, cpu_s) in replay.replay(path, router).items():
+                us = cpu_s / count * 1e6
+                previous = min_costs.setdefault(name, {}).get(event, (count, us))
+                min_costs[name][event] = count, min(us, previous[1])
+    return min_costs
+
+
+def us_per_event(costs):
+    """Mean over all events."""
+    return sum(count * us for count, us in costs.values()) / sum(count for count, _ in costs.values())
+
+
+def us_per_request(costs):
+    """All events together, divided by the number of requests."""
+    return sum(count * us for count, us in costs.values()) / costs["arrived"][0]
+
+
+def run(
+    folder,
+    versions,
+    *,
+    workers=WORKER_COUNTS,
+    routers=ROUTER_COUNTS,
+    questions=300,
+    load=1.0,
+    rounds=2,
+    say=print,
+    subset=False,
+):
+    """Measures the whole grid; returns the mean cost per event by grid point and version.
+
+    Writes folder/cost.csv, with a row for each grid point, version and kind of event, and folder/cost.svg.
+    """
     folder, means = Path(folder), {}
     folder.mkdir(parents=True, exist_ok=True)
     with open(folder / "cost.csv", "w", newline="") as file:
         table = csv.writer(file)
         table.writerow(["workers", "routers", "load", "seed", "text", "event", "times", "us_each"])
-        for count in workers:
-            for share in routers:
-                size, began = Size(count, share, questions, load), time.monotonic()
-                told = measure(size, record(size, folder / f"{count}x{share}.rec"), texts, rounds)
-                if subset:  # the same questions, other events: its ratio is of CPU a question
-                    part = measure(
+        for worker_count in workers:
+            for router_count in routers:
+                size, started = Size(worker_count, router_count, questions, load), time.monotonic()
+                costs = measure(size, record(size, folder / f"{worker_count}x{router_count}.rec"), versions, rounds)
+                if subset:  # the same requests cause other events, so that only the CPU time per request compares
+                    subset_costs = measure(
                         size,
-                        record(replace(size, subset=True), folder / f"{count}x{share}-part.rec"),
+                        record(replace(size, subset=True), folder / f"{worker_count}x{router_count}-part.rec"),
                         {"subset": Router},
                         rounds,
                     )["subset"]
-                    whole = told[list(texts)[-1]]
+                    full_costs = costs[list(versions)[-1]]
                     say(
-                        f"{count:4} workers, 1/{share:<3} of the traffic, subset: {asked(part):7.1f} us a question, "
-                        f"whole list {asked(whole):7.1f}, ratio {asked(part) / asked(whole):.2f}"
+                        f"{worker_count:4} workers, 1/{router_count:<3} of the traffic, subset: "
+                        f"{us_per_request(subset_costs):7.1f} us a question, "
+                        f"whole list {us_per_request(full_costs):7.1f}, "
+                        f"ratio {us_per_request(subset_costs) / us_per_request(full_costs):.2f}"
                     )
                     table.writerows(
-                        [count, share, load, size.seed, "subset", event, times, round(us, 2)]
-                        for event, (times, us) in sorted(part.items())
+                        [worker_count, router_count, load, size.seed, "subset", event, count, round(us, 2)]
+                        for event, (count, us) in sorted(subset_costs.items())
                     )
-                for name, kinds in told.items():
-                    means[count, share, name] = each(kinds)
+                for name, event_costs in costs.items():
+                    means[worker_count, router_count, name] = us_per_event(event_costs)
                     table.writerows(
-                        [count, share, load, size.seed, name, event, times, round(us, 2)]
-                        for event, (times, us) in sorted(kinds.items())
+                        [worker_count, router_count, load, size.seed, name, event, count, round(us, 2)]
+                        for event, (count, us) in sorted(event_costs.items())
                     )
                 say(
-                    f"{count:4} workers, 1/{share:<3} of the traffic: "
-                    + ", ".join(f"{name} {means[count, share, name]:7.1f} us" for name in texts)
-                    + (f", ratio {ratio(means, count, share, texts):.2f}" if len(texts) > 1 else "")
-                    + f" ({time.monotonic() - began:.1f} s)"
+                    f"{worker_count:4} workers, 1/{router_count:<3} of the traffic: "
+                    + ", ".join(f"{name} {means[worker_count, router_count, name]:7.1f} us" for name in versions)
+                    + (f", ratio {ratio(means, worker_count, router_count, versions):.2f}" if len(versions) > 1 else "")
+                    + f" ({time.monotonic() - started:.1f} s)"
                 )
-    chart(means, texts, folder / "cost.svg")
+    chart(means, versions, folder / "cost.svg")
     return means
 
 
-def ratio(means, workers, routers, texts):
-    first, *_, last = texts
+def ratio(means, workers, routers, versions):
+    first, *_, last = versions
     return means[workers, routers, last] / means[workers, routers, first]
 
 
-def chart(means, texts, path):
-    """Cost of an event against workers, a line for each text and share of the traffic."""
+def chart(means, versions, path):
+    """Plots the cost per event against the number of workers, a line for each version and number of routers."""
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
-    matplotlib.rcParams["svg.hashsalt"] = "cost"  # the same figures give the same file
+    matplotlib.rcParams["svg.hashsalt"] = "cost"  # the same data gives the same file
     figure, axes = pyplot.subplots(figsize=(7, 4.5))
-    for name, style in zip(texts, ("--", "-", ":")):
-        for number, share in enumerate(sorted({r for _, r, _ in means})):
-            sizes = sorted({w for w, r, n in means if (r, n) == (share, name)})
+    for name, style in zip(versions, ("--", "-", ":")):
+        for number, router_count in enumerate(sorted({r for _, r, _ in means})):
+            worker_counts = sorted({w for w, r, n in means if (r, n) == (router_count, name)})
             axes.plot(
-                sizes,
-                [means[w, share, name] for w in sizes],
+                worker_counts,
+                [means[w, router_count, name] for w in worker_counts],
                 style,
                 color=f"C{number}",
                 marker="o",
                 markersize=3,
-                label=f"{name}, 1/{share} of the traffic",
+                label=f"{name}, 1/{router_count} of the traffic",
             )
     axes.set(xlabel="workers", ylabel="us of CPU an event", xscale="log", yscale="log")
     axes.legend(fontsize=7)
--- a/ramppulley/load/rings.py
+++ b/ramppulley/load/rings.py
@@ -1,8 +1,9 @@
-"""Subsets measured from 3 to 1,000 routers in virtual time, beside what others publish. Pure but for its files.
+"""Compares the subsets of `cluster.subsets` with published methods, for 3 to 1,000 routers; computed, without a network.
 
-Baselines: a random subset each; rendezvous hashing (Thaler and Ravishankar 1998); deterministic subsetting (Site Reliability
-Engineering, O'Reilly 2016, chapter 20); an aperture ring (Finagle's deterministic aperture, by its description); and a
-low-discrepancy ring (Rocksteadier Subsetting, ACM Queue). All give each router a set of workers; ours gives shares too.
+Baselines: a random subset for each router; rendezvous hashing (Thaler and Ravishankar 1998); deterministic subsetting (Site
+Reliability Engineering, O'Reilly 2016, chapter 20); an aperture ring (Finagle's deterministic aperture, implemented from its
+description); and a low-discrepancy ring (Rocksteadier Subsetting, ACM Queue). All give each router a set of workers; ours
+also gives traffic shares.
 """
 
 import csv
@@ -10,33 +11,33 @@
 
 from ramppulley.cluster.subsets import Peer, Place, View, lot, mark_of, part_of
 
-LEAST = 12
-FLEETS = ((4, 3, 3), (8, 4, 4), (16, 4, 4), (16, 8, 8))  # cells, readers and writers of each
+MIN_SUBSET_WORKERS = 12
+FLEETS = ((4, 3, 3), (8, 4, 4), (16, 4, 4), (16, 8, 8))  # groups, prefill and decode workers of each group
 
 
-def fleet(cells, readers, writers, zones=2):
+def fleet(groups, prefill_workers, decode_workers, zones=2):
     return [
-        Place(mark_of(f"{role}-{cell}-{n}") >> 32, role, mark_of(f"rack{cell}") >> 32, cell % zones)
-        for cell in range(cells)
-        for role, count in (("read", readers), ("write", writers))
+        Place(mark_of(f"{role}-{group}-{n}") >> 32, role, mark_of(f"rack{group}") >> 32, group % zones)
+        for group in range(groups)
+        for role, count in (("read", prefill_workers), ("write", decode_workers))
         for n in range(count)
     ]
 
 
-def routers(count, uneven=1.0, zones=2):
-    return [Peer(f"r{n}", n % zones, uneven if n == 0 else 1.0) for n in range(count)]
+def routers(count, first_traffic=1.0, zones=2):
+    return [Peer(f"r{n}", n % zones, first_traffic if n == 0 else 1.0) for n in range(count)]
 
 
 class Ours:
-    """`cluster.subsets`, with the part that the router before had."""
+    """`cluster.subsets`; `previous_part` is the part of the list that the routers used before."""
 
     name = "subsets"
 
-    def __init__(self, peers, places, before=1.0):
-        self.part = part_of(len(peers), len(places), LEAST, before)
+    def __init__(self, peers, places, previous_part=1.0):
+        self.part = part_of(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
         self.view = View(peers, places, self.part)
 
-    def of(self, peer):
+    def subset_of(self, peer):
         return self.view.subset(peer)
 
     def shares(self):
@@ -44,175 +45,182 @@
 
 
 class Baseline:
-    """So many workers for each router as ours has, each of them taken alike."""
+    """Subsets of about the size of ours, with equal shares for the workers of each role."""
 
-    def __init__(self, peers, places, before=1.0):
-        self.part = part_of(len(peers), len(places), LEAST, before)
+    def __init__(self, peers, places, previous_part=1.0):
+        self.part = part_of(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
         self.peers, self.places = peers, places
         self.size = max(1, round(self.part * len(places)))
-        self.made = {}
+        self.subsets = {}
 
-    def of(self, peer):
-        if peer.name not in self.made:
-            self.made[peer.name] = self.make(peer)
-        return self.made[peer.name]
+    def subset_of(self, peer):
+        if peer.name not in self.subsets:
+            self.subsets[peer.name] = self.choose_subset(peer)
+        return self.subsets[peer.name]
 
     def shares(self):
-        found = {}
+        shares_by_router = {}
         for peer in self.peers:
-            row, its = {}, self.of(peer)
-            for writes in (False, True):
-                some = [p.mark for p in self.places if p.mark in its and (p.role != "read") == writes]
-                row |= {mark: 1 / len(some) for mark in some}
-            found[peer.name] = row
-        return found
+            peer_shares, subset = {}, self.subset_of(peer)
+            for can_decode in (False, True):
+                ids = [p.mark for p in self.places if p.mark in subset and (p.role != "read") == can_decode]
+                peer_shares |= {worker_id: 1 / len(ids) for worker_id in ids}
+            shares_by_router[peer.name] = peer_shares
+        return shares_by_router
 
 
-class Drawn(Baseline):
+class RandomSubset(Baseline):
     name = "random"
 
-    def make(self, peer):
+    def choose_subset(self, peer):
         return set(Random(peer.name).sample(sorted(p.mark for p in self.places), self.size))
 
 
 class Rendezvous(Baseline):
     name = "rendezvous"
 
-    def make(self, peer):
-        mark = mark_of(peer.name)
-        return {p.mark for p in sorted(self.places, key=lambda p: lot(mark, p.mark))[: self.size]}
+    def choose_subset(self, peer):
+        router_id = mark_of(peer.name)
+        return {p.mark for p in sorted(self.places, key=lambda p: lot(router_id, p.mark))[: self.size]}
 
 
-class Deterministic(Baseline):
-    """Rounds of as many routers as subsets fill the list; each round shuffles it anew."""
+class DeterministicSubsetting(Baseline):
+    """Each round of routers divides a shuffled list of workers among them; every round has its own shuffle."""
 
     name = "deterministic"
 
-    def make(self, peer):
+    def choose_subset(self, peer):
         number, count = [p.name for p in self.peers].index(peer.name), max(1, len(self.places) // self.size)
-        marks = sorted(p.mark for p in self.places)
-        Random(number // count).shuffle(marks)
+        ids = sorted(p.mark for p in self.places)
+        Random(number // count).shuffle(ids)
         first = number % count * self.size
-        return set(marks[first : first + self.size])
+        return set(ids[first : first + self.size])
 
 
-class Aperture(Baseline):
-    """Routers stand evenly on a ring of workers; each takes the next ones."""
+class ApertureRing(Baseline):
+    """Routers are spaced evenly on a ring of workers; each uses the next ones."""
 
     name = "aperture ring"
 
-    def place(self, number):
+    def ring_position(self, number):
         return number / len(self.peers)
 
-    def make(self, peer):
-        marks = sorted((p.mark for p in self.places), key=lambda m: lot(1, m))
-        first = int(self.place([p.name for p in self.peers].index(peer.name)) * len(marks))
-        return {marks[(first + n) % len(marks)] for n in range(self.size)}
+    def choose_subset(self, peer):
+        ids = sorted((p.mark for p in self.places), key=lambda i: lot(1, i))
+        first = int(self.ring_position([p.name for p in self.peers].index(peer.name)) * len(ids))
+        return {ids[(first + n) % len(ids)] for n in range(self.size)}
 
 
-class LowDiscrepancy(Aperture):
-    """As the ring, but a router's place is its number's binary digits read backwards: another one moves nobody."""
+class LowDiscrepancyRing(ApertureRing):
+    """Positions are the bit-reversed numbers of the routers, so that adding a router moves no other."""
 
     name = "low-discrepancy ring"
 
-    def place(self, number):
+    def ring_position(self, number):
         return int(f"{number:032b}"[::-1], 2) / 2**32
 
 
-KINDS = (Ours, Drawn, Rendezvous, Deterministic, Aperture, LowDiscrepancy)
+KINDS = (Ours, RandomSubset, Rendezvous, DeterministicSubsetting, ApertureRing, LowDiscrepancyRing)
 
 
-def fairness(kind, peers, places):
-    """(most loaded worker over its even part, of readers and of writers the larger; least routers of any worker)."""
-    made = kind(peers, places)
-    shares, got = made.shares(), dict.fromkeys([p.mark for p in places], 0.0)
+def fairness(method, peers, places):
+    """(load of the most loaded worker over the mean of its role, the larger of both roles; minimum routers of a worker)."""
+    subsetting = method(peers, places)
+    shares, loads = subsetting.shares(), dict.fromkeys([p.mark for p in places], 0.0)
     for peer in peers:
-        for mark, part in shares[peer.name].items():
-            got[mark] += part * peer.traffic
-    worst = 0.0
-    for writes in (False, True):
-        some = [got[p.mark] / p.weight for p in places if (p.role != "read") == writes]
-        worst = max(worst, max(some) * len(some) / sum(some) if sum(some) else 0.0)
-    return worst, min(sum(p.mark in made.of(peer) for peer in peers) for p in places)
-
-
-def changed(kind, peers, places, peers_after, places_after):
-    """(memberships that change, the least that must: of routers and workers that are there before or after only)."""
-    before = kind(peers, places)
-    after = kind(peers_after, places_after, before.part)
-    old, new = {p.name: before.of(p) for p in peers}, {p.name: after.of(p) for p in peers_after}
-    there, stay = {p.mark for p in places_after}, {p.mark for p in places}
+        for worker_id, share in shares[peer.name].items():
+            loads[worker_id] += share * peer.traffic
+    max_ratio = 0.0
+    for can_decode in (False, True):
+        role_loads = [loads[p.mark] / p.weight for p in places if (p.role != "read") == can_decode]
+        max_ratio = max(max_ratio, max(role_loads) * len(role_loads) / sum(role_loads) if sum(role_loads) else 0.0)
+    return max_ratio, min(sum(p.mark in subsetting.subset_of(peer) for peer in peers) for p in places)
+
+
+def changed(method, peers, places, peers_after, places_after):
+    """(changed memberships; the unavoidable ones among them; whether the part of the list changed).
+
+    Unavoidable are the memberships of routers and workers that exist only before or only after the change.
+    """
+    before = method(peers, places)
+    after = method(peers_after, places_after, before.part)
+    old, new = {p.name: before.subset_of(p) for p in peers}, {p.name: after.subset_of(p) for p in peers_after}
+    ids_after, ids_before = {p.mark for p in places_after}, {p.mark for p in places}
     count = sum(len(old.get(name, set()) ^ new.get(name, set())) for name in {*old, *new})
-    least = sum(len(some) for name, some in new.items() if name not in old)
-    least += sum(len(some) for name, some in old.items() if name not in new)
-    least += sum(len(some - there) for name, some in old.items() if name in new)
-    least += sum(len(some - stay) for name, some in new.items() if name in old)
-    return count, least, before.part != after.part
+    unavoidable = sum(len(subset) for name, subset in new.items() if name not in old)
+    unavoidable += sum(len(subset) for name, subset in old.items() if name not in new)
+    unavoidable += sum(len(subset - ids_after) for name, subset in old.items() if name in new)
+    unavoidable += sum(len(subset - ids_before) for name, subset in new.items() if name in old)
+    return count, unavoidable, before.part != after.part
 
 
 def rows(sizes, fleets=FLEETS):
-    for shape in fleets:
-        for size in sizes:
-            for kind in KINDS:
-                places, peers = fleet(*shape), routers(size)
-                even, covered = fairness(kind, peers, places)
-                uneven, _ = fairness(kind, routers(size, 10.0), places)
-                more = changed(kind, peers, places, [*peers, Peer(f"r{size}", size % 2)], places)
-                less = changed(kind, peers, places, peers[:-2] + peers[-1:], places)
-                grown = changed(
-                    kind, peers, places, peers, [*places, Place(7, "write", places[0].cell, places[0].zone)]
+    for fleet_size in fleets:
+        for router_count in sizes:
+            for method in KINDS:
+                places, peers = fleet(*fleet_size), routers(router_count)
+                even_ratio, min_routers = fairness(method, peers, places)
+                uneven_ratio, _ = fairness(method, routers(router_count, 10.0), places)
+                router_added = changed(
+                    method, peers, places, [*peers, Peer(f"r{router_count}", router_count % 2)], places
                 )
-                shrunk = changed(kind, peers, places, peers, places[1:])
+                router_removed = changed(method, peers, places, peers[:-2] + peers[-1:], places)
+                worker_added = changed(
+                    method, peers, places, peers, [*places, Place(7, "write", places[0].cell, places[0].zone)]
+                )
+                worker_removed = changed(method, peers, places, peers, places[1:])
                 yield {
-                    "kind": kind.name,
-                    "routers": size,
+                    "kind": method.name,
+                    "routers": router_count,
                     "workers": len(places),
-                    "part": kind(peers, places).part,
-                    "most_loaded": round(even, 3),
-                    "one_of_ten_times": round(uneven, 3),
-                    "least_routers": covered,
+                    "part": method(peers, places).part,
+                    "most_loaded": round(even_ratio, 3),
+                    "one_of_ten_times": round(uneven_ratio, 3),
+                    "least_routers": min_routers,
                     **{
-                        f"{name}_{what}": figure
-                        for name, told in (
-                            ("router_more", more),
-                            ("router_less", less),
-                            ("worker_more", grown),
-                            ("worker_less", shrunk),
+                        f"{change}_{column}": count
+                        for change, counts in (
+                            ("router_more", router_added),
+                            ("router_less", router_removed),
+                            ("worker_more", worker_added),
+                            ("worker_less", worker_removed),
                         )
-                        for what, figure in zip(("changed", "least"), told)
+                        for column, count in zip(("changed", "least"), counts)
                     },
                 }
 
 
-def table(folder, sizes, say=print, fleets=FLEETS):
-    """subsets.csv and subsets.svg."""
+def table(folder, sizes, echo=print, fleets=FLEETS):
+    """Writes subsets.csv and subsets.svg; returns the rows."""
     folder.mkdir(parents=True, exist_ok=True)
-    found = []
+    results = []
     for row in rows(sizes, fleets):
-        found.append(row)
-        say(" ".join(f"{key} {value}" for key, value in row.items()))
+        results.append(row)
+        echo(" ".join(f"{key} {value}" for key, value in row.items()))
     with open(folder / "subsets.csv", "w", newline="") as file:
-        out = csv.DictWriter(file, found[0])
-        out.writeheader()
-        out.writerows(found)
+        writer = csv.DictWriter(file, results[0])
+        writer.writeheader()
+        writer.writerows(results)
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
-    figure, both = pyplot.subplots(1, 2, figsize=(11, 4))
-    workers = sorted({row["workers"] for row in found})[len({row["workers"] for row in found}) // 2]
-    for kind in KINDS:
-        some = [row for row in found if row["kind"] == kind.name and row["workers"] == workers]
-        both[0].plot([r["routers"] for r in some], [r["most_loaded"] for r in some], marker=".", label=kind.name)
-        both[1].plot(
-            [r["routers"] for r in some],
-            [max(0.5, r["router_less_changed"] / max(1, r["router_less_least"])) for r in some],
+    figure, plots = pyplot.subplots(1, 2, figsize=(11, 4))
+    workers = sorted({row["workers"] for row in results})[len({row["workers"] for row in results}) // 2]
+    for method in KINDS:
+        selected = [row for row in results if row["kind"] == method.name and row["workers"] == workers]
+        plots[0].plot(
+            [r["routers"] for r in selected], [r["most_loaded"] for r in selected], marker=".", label=method.name
+        )
+        plots[1].plot(
+            [r["routers"] for r in selected],
+            [max(0.5, r["router_less_changed"] / max(1, r["router_less_least"])) for r in selected],
             marker=".",
-            label=kind.name,
+            label=method.name,
         )
     for axes, title in zip(
-        both,
+        plots,
         (
             f"most loaded worker over its even part, {workers} workers",
             "memberships changed over the least, one router less",
@@ -220,6 +228,6 @@
     ):
         axes.set(xscale="log", xlabel="routers", title=title)
         axes.legend(fontsize=7)
-    both[1].set(yscale="log")
+    plots[1].set(yscale="log")
     figure.savefig(folder / "subsets.svg")
-    return found
+    return results
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -39,7 +39,7 @@
 def test_a_goodbye_needs_no_suspicion():
     net = met()
     net.members["i2"].leave(net.now)
-    net._after("i2", net.members["i2"])
+    net._collect_output("i2", net.members["i2"])
     net.run(net.now + 5 * S)
     assert {name for _, name, *_ in net.seen("left", "i2")} == set(net.members) - {"i2"}
     assert not net.seen("suspect", "i2") and not net.members["i2"].out
@@ -79,7 +79,7 @@
 def test_one_that_forgot_all_asks_first_and_uses_no_incarnation_again():
     net = met()
     net.members["i4"].told_traffic(5)
-    net._after("i4", net.members["i4"])
+    net._collect_output("i4", net.members["i4"])
     net.run(net.now + 30 * S)
     used = net.members["i4"].incarnation
     net.end("i4")
@@ -94,7 +94,7 @@
 def test_a_seed_that_was_killed_too_and_remembers_nothing_is_no_answer():
     net = met()
     net.members["i4"].told_traffic(5)
-    net._after("i4", net.members["i4"])
+    net._collect_output("i4", net.members["i4"])
     net.run(net.now + 30 * S)
     for name in ("i0", "i4"):
         net.end(name)
