--- a/ramppulley/load/bench/__init__.py
+++ b/ramppulley/load/bench/__init__.py
@@ -1,5 +1,5 @@
-"""Measures what the router adds, against stand-in engines: all ratios come from one run, direct and then routed.
+"""Measures the router's overhead against stand-in engines; ratios compare direct and routed requests of one run.
 
-No figure here is a verdict: machines differ and are shared. `command.main` runs the parts; each part is a module.
-The fields of the parts' results are the keys of the JSON that the command prints.
+The figures have no pass or fail limits, because machines differ and are shared. `command.main` runs the parts of the
+benchmark, each of which is a module. The fields of the parts' result classes are the keys of the JSON output.
 """
--- a/ramppulley/load/bench/added_latency.py
+++ b/ramppulley/load/bench/added_latency.py
@@ -1,4 +1,4 @@
-"""Added latency of streamed chat: time to the first token and time per token, direct and routed, in turn."""
+"""Added latency of streamed chat: time to the first token and time per token, direct and routed in alternating rounds."""
 
 import asyncio
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class AddedLatency:
-    """Summaries by way (direct, routed) and their differences."""
+    """Summaries for direct and routed requests, and their differences."""
 
     per_s: float
     first_token: dict[str, LatencySummary]
@@ -24,34 +24,34 @@
 
 
 async def measure_added_latency(seconds, per_s):
-    """Requests at an even rate for so many seconds in all, a quarter of them in each round."""
-    histograms = {way: StreamHistograms() for way in ROUNDS}
+    """Sends requests at a constant rate for this many seconds in total, divided evenly among the rounds."""
+    histograms = {mode: StreamHistograms() for mode in ROUNDS}
     async with running_rig() as rig:
-        for way in ROUNDS:
-            await _run_round(rig, way, seconds / len(ROUNDS), per_s, histograms[way])
-        return _compared(per_s, histograms)
+        for mode in ROUNDS:
+            await _run_round(rig, mode, seconds / len(ROUNDS), per_s, histograms[mode])
+        return _compare(per_s, histograms)
 
 
-async def _run_round(rig, way, seconds, per_s, histograms):
+async def _run_round(rig, mode, seconds, per_s, histograms):
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     tasks = []
     while loop.time() < end:
-        tasks.append(loop.create_task(_stream(rig, way, len(tasks) + 1, histograms)))
+        tasks.append(loop.create_task(_stream(rig, mode, len(tasks) + 1, histograms)))
         await asyncio.sleep(1 / per_s)
     await asyncio.gather(*tasks)
 
 
-def _stream(rig, way, number, histograms):
-    if way == "direct":
+def _stream(rig, mode, number, histograms):
+    if mode == "direct":
         return direct_stream(rig.fleet, number, histograms)
-    body = streamed_chat_body(f"bench {way}{number}", MAX_TOKENS)
+    body = streamed_chat_body(f"bench {mode}{number}", MAX_TOKENS)
     return routed_stream(rig.router.port, body, histograms)
 
 
-def _compared(per_s, histograms):
-    first_token = {way: found.first_token.summary() for way, found in histograms.items()}
-    per_token = {way: found.per_token.summary() for way, found in histograms.items()}
+def _compare(per_s, histograms):
+    first_token = {mode: histogram.first_token.summary() for mode, histogram in histograms.items()}
+    per_token = {mode: histogram.per_token.summary() for mode, histogram in histograms.items()}
     return AddedLatency(
         per_s=per_s,
         first_token=first_token,
--- a/ramppulley/load/bench/clients.py
+++ b/ramppulley/load/bench/clients.py
@@ -1,4 +1,4 @@
-"""The benchmark's clients: streamed chat through the router or direct to the engines, and embeddings."""
+"""Clients of the benchmark: streamed chat, through the router or directly to the engines, and embeddings."""
 
 import time
 
@@ -16,7 +16,7 @@
 
 
 def chat_body(prompt_seed, max_tokens):
-    """The body of a chat request whose prompt is drawn from the seed."""
+    """The body of a chat request; the seed determines the prompt."""
     return {
         "model": CHAT,
         "messages": [{"role": "user", "content": text(prompt_seed, PROMPT_TOKENS)}],
@@ -25,12 +25,12 @@
 
 
 def streamed_chat_body(prompt_seed, max_tokens):
-    """The same, with a streamed response."""
+    """The body of a chat request with a streamed response."""
     return chat_body(prompt_seed, max_tokens) | {"stream": True}
 
 
 async def routed_stream(port, body, histograms):
-    """One streamed response through the router, recorded in the histograms; whether it was complete."""
+    """Streams one response through the router and records its latency; returns whether it was complete."""
     reply = await ask(LOOPBACK, port, CHAT_PATH, body, patience=STREAM_TIMEOUT_S, after_first=STREAM_TIMEOUT_S)
     if reply.done and reply.first is not None:
         histograms.first_token.record(reply.first - reply.sent)
@@ -40,7 +40,7 @@
 
 
 async def direct_stream(fleet, number, histograms):
-    """The router's two attempts made by the client itself; its first token counts from the start of the prefill."""
+    """Makes the router's prefill and decode attempts itself; the time to the first token includes the prefill."""
     prefill_port = fleet.standins[f"reader-0-{number % 2}"].port
     decode_port = fleet.standins[f"writer-0-{number % 2}"].port
     body = chat_body(f"bench d{number}", DIRECT_MAX_TOKENS)
@@ -67,7 +67,7 @@
 
 
 async def embeddings(port, transport):
-    """One embeddings request on an open connection; its reply."""
+    """Sends one embeddings request on an open connection; returns the reply."""
     return await ask(LOOPBACK, port, EMBEDDINGS_PATH, EMBEDDINGS_BODY, transport=transport)
 
 
--- a/ramppulley/load/bench/command.py
+++ b/ramppulley/load/bench/command.py
@@ -1,4 +1,4 @@
-"""The command `./rp bench`: runs the parts one after the other and prints each part's result as JSON."""
+"""The command `./rp bench`: runs the parts one after the other and prints the result of each as JSON."""
 
 import gc
 import json
@@ -22,8 +22,8 @@
 
 
 def main(seconds, soak_seconds, as_json, echo):
-    """Runs the soak part if `soak_seconds` is given, else all others; `echo` prints one text."""
-    gc.disable()  # the clients' and stand-ins' own pauses are not the router's; a run is short
+    """Runs the soak part if `soak_seconds` is given, else all other parts; `echo` prints a line."""
+    gc.disable()  # collector pauses of the clients and stand-ins would distort the router's latency; a run is short
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     if soak_seconds:
         _print_part("soak", asdict(uvloop.run(measure_soak(soak_seconds))), as_json, echo)
--- a/ramppulley/load/bench/decision_cost.py
+++ b/ramppulley/load/bench/decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of the decision module for one request at a fleet's size, on a virtual clock and without sockets."""
+"""CPU time of the decision module per request for a given fleet size, on a virtual clock and without sockets."""
 
 import gc
 import time
@@ -10,8 +10,8 @@
 from ramppulley.rules import Router
 
 REQUESTS = 3000
-WARM_UP_DIVISOR = 10  # the first tenth of the requests is left out of the figures
-ARRIVAL_INTERVAL = 50  # between two requests, in tenths of a millisecond as all times of the module
+WARM_UP_DIVISOR = 10  # the first tenth of the requests is excluded from the figures
+ARRIVAL_INTERVAL = 50  # time between two requests; all times are in tenths of a millisecond
 ATTEMPT_DURATION = 400
 SESSIONS = 400
 PREFIXES = 40
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class DecisionCost:
-    """Mean and 99th percentile of the processor time for one request, in microseconds."""
+    """Mean and 99th percentile of the CPU time per request, in microseconds."""
 
     workers: int
     us_a_question: float
@@ -46,13 +46,13 @@
 
 
 class RecordingHost:
-    """A host interface that carries nothing out; it keeps the attempts, so that they can be answered."""
+    """A host that only keeps the started attempts, so that they can be completed later, and ignores all other calls."""
 
     def __init__(self) -> None:
         self.attempts: list[StartedAttempt] = []
 
     def send(self, request: Any, endpoint: Any, timeout: Any, attempt: Any) -> None:
-        """Keeps an attempt."""
+        """Keeps the started attempt."""
         self.attempts.append(StartedAttempt(request, endpoint, attempt))
 
     def __getattr__(self, name: str) -> Any:
@@ -60,13 +60,13 @@
 
 
 class DecisionRun:
-    """A router's decision module under requests at an even rate; every attempt succeeds after a fixed time."""
+    """A decision module that gets requests at a constant rate; every attempt succeeds after a fixed time."""
 
     def __init__(self, workers: int, seed: int) -> None:
         self.host = RecordingHost()
         self.rng = Random(seed)
         self.now = 0
-        self.under_way: list[tuple[int, StartedAttempt]] = []  # due times and attempts
+        self.open_attempts: list[tuple[int, StartedAttempt]] = []  # (completion time, attempt)
         self.router: Any = Router(
             self.host,
             seed=seed,
@@ -96,20 +96,20 @@
         )
 
     def next_request_ns(self) -> int:
-        """One request and the ends of the attempts that are due; processor time in nanoseconds."""
+        """Submits one request and completes the attempts that are due; returns the CPU time in nanoseconds."""
         self.now += ARRIVAL_INTERVAL
         request = self._request()
         started = time.process_time_ns()
         self.router.arrived(self.now, request)
-        self._note_attempts()
-        while self.under_way and self.under_way[0][0] <= self.now:
-            self._complete(self.under_way.pop(0)[1])
-            self._note_attempts()
+        self._schedule_attempts()
+        while self.open_attempts and self.open_attempts[0][0] <= self.now:
+            self._complete(self.open_attempts.pop(0)[1])
+            self._schedule_attempts()
         return time.process_time_ns() - started
 
-    def _note_attempts(self) -> None:
+    def _schedule_attempts(self) -> None:
         while self.host.attempts:
-            self.under_way.append((self.now + ATTEMPT_DURATION, self.host.attempts.pop()))
+            self.open_attempts.append((self.now + ATTEMPT_DURATION, self.host.attempts.pop()))
 
     def _complete(self, started: StartedAttempt) -> None:
         request, _, attempt = started
@@ -121,7 +121,7 @@
 
 
 def measure_decision_cost(workers: int, requests: int = REQUESTS, seed: int = 1) -> DecisionCost:
-    """Arrival, prefill, first token and completion of requests with so many workers."""
+    """Measures the arrival, prefill, first token and completion of requests with this many workers."""
     run = DecisionRun(workers, seed)
     gc.collect()
     times = [run.next_request_ns() for _ in range(requests)]
--- a/ramppulley/load/bench/half_load.py
+++ b/ramppulley/load/bench/half_load.py
@@ -1,4 +1,4 @@
-"""Latency of whole embeddings responses at a set rate, direct to a stand-in and routed, in turn."""
+"""Latency of complete embeddings responses at a fixed rate, direct and routed in alternating rounds."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HalfLoad:
-    """Summaries of both ways, their difference, and the router's share of a core in the last routed round."""
+    """Summaries for direct and routed requests, their difference, and the router's CPU usage in the last routed round."""
 
     per_s: int
     router_cpu_part: float
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True)
 class Schedule:
-    """When the requests of one round are due, on the event loop's clock."""
+    """Times at which the requests of one round are due, on the event loop's clock."""
 
     start: float
     end: float
     per_s: float
 
     def first_due(self, client):
-        """When a client's first request is due."""
+        """Time of a client's first request; the clients are spread evenly over the first interval."""
         return self.start + client / self.per_s
 
     def interval(self):
@@ -42,17 +42,17 @@
 
 
 async def measure_half_load(seconds, per_s):
-    """Requests at an even rate for so many seconds in all, a quarter of them in each round."""
-    histograms = {way: LatencyHistogram() for way in ROUNDS}
+    """Sends requests at a constant rate for this many seconds in total, divided evenly among the rounds."""
+    histograms = {mode: LatencyHistogram() for mode in ROUNDS}
     async with running_rig() as rig:
-        for way in ROUNDS:
-            cpu_part = await _run_round(rig, way, seconds / len(ROUNDS), per_s, histograms[way])
-        return _compared(per_s, cpu_part, histograms)
+        for mode in ROUNDS:
+            cpu_usage = await _run_round(rig, mode, seconds / len(ROUNDS), per_s, histograms[mode])
+        return _compare(per_s, cpu_usage, histograms)
 
 
-async def _run_round(rig, way, seconds, per_s, histogram):
-    """The router's share of a core in this round."""
-    port = rig.fleet.standins["pool-0"].port if way == "direct" else rig.router.port
+async def _run_round(rig, mode, seconds, per_s, histogram):
+    """Runs one round; returns the router's CPU usage as a fraction of one core."""
+    port = rig.fleet.standins["pool-0"].port if mode == "direct" else rig.router.port
     pid = rig.router.process.pid
     start = asyncio.get_running_loop().time()
     cpu_before = cpu_seconds(pid)
@@ -76,12 +76,12 @@
     transport.close()
 
 
-def _compared(per_s, cpu_part, histograms):
+def _compare(per_s, cpu_usage, histograms):
     direct = histograms["direct"].summary()
     routed = histograms["routed"].summary()
     return HalfLoad(
         per_s=round(per_s),
-        router_cpu_part=round(cpu_part, 3),
+        router_cpu_part=round(cpu_usage, 3),
         direct=direct,
         routed=routed,
         added_p50_ms=difference_ms(routed.p50_ms, direct.p50_ms),
--- a/ramppulley/load/bench/histograms.py
+++ b/ramppulley/load/bench/histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms of the benchmark: values are recorded in microseconds and summarized in milliseconds."""
+"""Latency histograms, recorded in microseconds and summarized in milliseconds."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class LatencySummary:
-    """Percentiles of one histogram, in milliseconds, and how many values it holds."""
+    """Percentiles of one histogram in milliseconds, and its number of values."""
 
     p50_ms: float
     p99_ms: float
@@ -27,11 +27,11 @@
         self._histogram = HdrHistogram(MIN_VALUE_US, MAX_VALUE_US, SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Adds a duration; shorter than the smallest value counts as the smallest value."""
+        """Adds a duration; values below the minimum are recorded as the minimum."""
         self._histogram.record_value(max(MIN_VALUE_US, int(seconds * MICROSECONDS_PER_SECOND)))
 
     def summary(self) -> LatencySummary:
-        """The percentiles so far."""
+        """Percentiles of the values recorded so far."""
         return LatencySummary(
             p50_ms=self._percentile_ms(50),
             p99_ms=self._percentile_ms(99),
@@ -44,7 +44,7 @@
 
 
 class StreamHistograms:
-    """Time to the first token, and mean time per further token, of streamed responses."""
+    """Time to the first token and mean time between tokens of streamed responses."""
 
     def __init__(self) -> None:
         self.first_token = LatencyHistogram()
@@ -52,5 +52,5 @@
 
 
 def difference_ms(routed_ms: float, direct_ms: float) -> float:
-    """What the router adds, at the precision of the summaries."""
+    """The latency that the router adds, rounded to the precision of the summaries."""
     return round(routed_ms - direct_ms, 3)
--- a/ramppulley/load/bench/process_usage.py
+++ b/ramppulley/load/bench/process_usage.py
@@ -1,9 +1,9 @@
-"""What the operating system says of a process: resident memory, processor time, open files."""
+"""Resource usage of a process, read from /proc: resident memory, CPU time and open files."""
 
 import os
 import resource
 
-PROC_STAT_USER_TICKS = 11  # index among the fields after the command's name
+PROC_STAT_USER_TICKS = 11  # index among the fields after the command name
 PROC_STAT_SYSTEM_TICKS = 12
 
 
@@ -14,7 +14,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time of a process so far, in user and kernel mode."""
+    """CPU time that a process has used so far, in user and kernel mode."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(") ")[2].split()
     ticks = int(fields[PROC_STAT_USER_TICKS]) + int(fields[PROC_STAT_SYSTEM_TICKS])
--- a/ramppulley/load/bench/rig.py
+++ b/ramppulley/load/bench/rig.py
@@ -1,4 +1,4 @@
-"""The rig of the benchmark: stand-in engines that answer almost at once, and one router process before them."""
+"""The benchmark's setup: stand-in engines that answer almost at once, behind one router process."""
 
 import tempfile
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 
 LOOPBACK = "127.0.0.1"
 CONNECT_TIMEOUT_S = 5
-ROUNDS = ("direct", "routed", "direct", "routed")  # in turn, so that a drift of the machine shows
+ROUNDS = ("direct", "routed", "direct", "routed")  # alternating, so that a drift of the machine's speed shows
 MAX_CONNECTIONS = 20_000
 
 FAST_PREFILL = {
@@ -32,7 +32,7 @@
     "per_seq": 0,
     "context_per_k": 0,
 }
-FAST_KINDS = {  # by the stand-ins' roles
+FAST_KINDS = {  # by stand-in role
     "read": FAST_PREFILL,
     "write": FAST_DECODE,
     "pool": FAST_PREFILL,
@@ -49,15 +49,15 @@
 
 
 def fast_fleet(list_path):
-    """A fleet, not yet started, of one group with two prefill and two decode engines, and two pooled engines."""
-    found = machines(1, 2, 2, 2)
-    for machine in found:
-        machine["kind"] = FAST_KINDS[machine["role"]]
-    return StandinFleet(found, list_path)
+    """Builds, without starting it, a fleet of one group with two prefill and two decode engines, and two pool engines."""
+    engines = machines(1, 2, 2, 2)
+    for engine in engines:
+        engine["kind"] = FAST_KINDS[engine["role"]]
+    return StandinFleet(engines, list_path)
 
 
 def bench_scenario():
-    """A scenario whose latency targets and limits are wide enough to reject nothing."""
+    """A scenario whose latency targets and limits are too wide for any request to be rejected."""
     request_classes = {
         name: {"promised_s": 30, "outer_limit_s": 120, "pace_s": 0.06}
         for name in ("desk", "afloat", "booking", "ticket", "search")
@@ -71,7 +71,7 @@
 
 @asynccontextmanager
 async def running_rig(build_fleet=fast_fleet, scenario=None):
-    """Starts a fleet and a router process, and stops both at the end. `build_fleet` is given the path of its list."""
+    """Starts a fleet and a router process, and stops both at the end. `build_fleet` gets the path of the worker list."""
     scenario = scenario or bench_scenario()
     with tempfile.TemporaryDirectory() as folder:
         fleet = await build_fleet(Path(folder) / "workers.json5").start()
--- a/ramppulley/load/bench/soak.py
+++ b/ramppulley/load/bench/soak.py
@@ -1,4 +1,4 @@
-"""A long run at half load: memory, open files, held state and open requests at each third."""
+"""A long run at half load that samples memory, open files, KV states and open requests after each third."""
 
 import asyncio
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class SoakSample:
-    """What the router, the stand-ins and the clients hold at one moment. `held`: KV states; `out`: open requests."""
+    """Resources in use at one time. `held`: KV states at the stand-ins; `out`: open requests of the clients."""
 
     at_s: int
     memory_mb: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """Requests in all, those that were not completed, the samples, and the router's own gauge of pending work."""
+    """Number of requests and of those not completed, the samples, and the router's gauges of pending work."""
 
     questions: int
     not_fulfilled: int
@@ -38,7 +38,7 @@
 
 
 def soak_scenario(seconds, per_s=REQUESTS_PER_S):
-    """Chat with and without sessions, embeddings and rerank."""
+    """A scenario of chat with and without sessions, embeddings and rerank requests."""
     return Day(
         name="soak",
         length_s=seconds,
@@ -63,7 +63,7 @@
         self.samples = []
 
     async def run(self):
-        """Sends all requests, waits for their ends and for what is idle to close; the result."""
+        """Sends all requests, waits for their ends and for idle connections to close; returns the result."""
         self.start = asyncio.get_running_loop().time()
         await self._send_requests()
         await asyncio.gather(*self.tasks)
@@ -104,7 +104,7 @@
 
 
 async def measure_soak(seconds):
-    """Runs the soak scenario for so many seconds on a rig of its own."""
+    """Runs the soak scenario for this many seconds on its own fleet and router."""
     scenario = soak_scenario(seconds)
     async with running_rig(partial(scenario_fleet, scenario), scenario) as rig:
         return await SoakRun(rig, scenario).run()
--- a/ramppulley/load/bench/stream_memory.py
+++ b/ramppulley/load/bench/stream_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the router for each of many concurrent streams."""
+"""Memory that the router uses per stream with many concurrent streams."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -8,7 +8,7 @@
 from ramppulley.load.bench.process_usage import resident_bytes
 from ramppulley.load.bench.rig import fast_fleet, running_rig
 
-SLOW_STEP = 20_000  # of a decode engine, in tenths of a millisecond: long enough to have all streams open at once
+SLOW_STEP = 20_000  # of a decode engine, in tenths of a millisecond: long enough for all streams to be open at once
 WARM_UP_STREAMS = 20
 WARM_UP_MAX_TOKENS = 1
 MAX_TOKENS = 4
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class StreamMemory:
-    """Resident memory before and while the streams were open."""
+    """Resident memory before the streams were opened and while they were open."""
 
     streams: int
     done: int
@@ -30,7 +30,7 @@
 
 
 async def measure_stream_memory(count):
-    """Opens so many streams, and looks at the router's memory while they wait for their tokens."""
+    """Opens `count` streams and measures the router's memory while they wait for their tokens."""
     histograms = StreamHistograms()
     async with running_rig(_slow_decode_fleet) as rig:
         port = rig.router.port
@@ -64,7 +64,7 @@
 
 
 async def _open_streams(port, count, histograms):
-    """The tasks of so many streams, started one after the other; all have the same prompt."""
+    """Starts `count` streams with the same prompt one after the other; returns their tasks."""
     body = streamed_chat_body("long", MAX_TOKENS)
     loop = asyncio.get_running_loop()
     tasks = []
--- a/ramppulley/load/bench/throughput.py
+++ b/ramppulley/load/bench/throughput.py
@@ -1,4 +1,4 @@
-"""Throughput: embeddings per second through one router process, and its processor time for each."""
+"""Throughput: embeddings requests per second through one router process, and its CPU time per request."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Throughput:
-    """Answered requests per second and what they cost the router."""
+    """Answered requests per second and the router's CPU usage."""
 
     answered_per_s: float
     router_cpu_part: float
@@ -23,7 +23,7 @@
 
 
 async def measure_throughput(seconds):
-    """Clients that each send one request after the other, as fast as they are answered."""
+    """Runs closed-loop clients: each sends its next request when the last one is answered."""
     async with running_rig() as rig:
         pid = rig.router.process.pid
         end = asyncio.get_running_loop().time() + seconds
@@ -34,7 +34,7 @@
 
 
 async def _closed_loop_client(port, end):
-    """Requests on one connection until the end; how many were answered."""
+    """Sends requests on one connection until the end time; returns the number that were answered."""
     loop = asyncio.get_running_loop()
     transport = await connect(LOOPBACK, port, CONNECT_TIMEOUT_S)
     answered = 0
--- a/ramppulley/load/grid.py
+++ b/ramppulley/load/grid.py
@@ -133,7 +133,8 @@
 
     # The methods of door.Host, each followed by the events that it schedules
     def send(self, view, endpoint, time_out, attempt):
-        rng, self.open_attempts[attempt] = self.rng, True
+        rng = self.rng
+        self.open_attempts[attempt] = True
         if endpoint in self.unresponsive:
             self.schedule(time_out, self.end_attempt, view, attempt, door.TOO_SLOW)
         elif rng.random() < (0.1 if self.memory_shares[endpoint] > 0.75 else 0.01):
--- a/ramppulley/load/nets.py
+++ b/ramppulley/load/nets.py
@@ -76,7 +76,7 @@
             if kind == "data":
                 member.take(self.now, (args[0], 1), args[1])
                 self._collect_output(name, member)
-            elif self.now >= member.due():  # an earlier timer may have been rescheduled since
+            elif self.now >= member.due():  # otherwise the timer was rescheduled in the meantime
                 member.tick(self.now)
                 self._collect_output(name, member)
         self.now = until
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,4 @@
-"""The one helper of the platform's stories: a router between stand-in workers and a stand-in list, in this process."""
+"""Fixture of the platform tests: a router with stand-in workers and a stand-in discovery list, in this process."""
 
 import asyncio
 import socket
@@ -47,7 +47,7 @@
 
 
 class Quiet:
-    """A log's stream that keeps its lines."""
+    """An in-memory log stream."""
 
     def __init__(self):
         self.text = ""
@@ -119,14 +119,14 @@
         return await connect("127.0.0.1", self.port, 1.0)
 
     async def ask(self, name="9b1f03aa5c7e2d41", transport=None, **headers):
-        """(status, headers, body, whether it came whole)."""
-        own = transport or await self.connect()
+        """Sends one request; returns (status, headers, body, whether the response was complete)."""
+        connection = transport or await self.connect()
         try:
-            await own.send(question(name, **headers))
-            return await answer(own)
+            await connection.send(question(name, **headers))
+            return await answer(connection)
         finally:
             if transport is None:
-                own.close()
+                connection.close()
 
     async def until(self, true, within=5.0):
         async with asyncio.timeout(within):
@@ -134,14 +134,14 @@
                 await asyncio.sleep(0.01)
 
     async def settled(self):
-        """Nothing is held for any question, here or at the workers."""
+        """Waits until no request is open and no KV state is held, at the router and at the workers."""
         await self.until(lambda: not self.yard and not self.node.core.requests and not self.node.engines.tasks)
         assert not self.node.core.router.requests
         assert not self.node.engines.releases.pending and not self.node.engines.releases.running
 
 
 def stand_still(seconds):
-    """The loop does nothing meanwhile: what comes due is all due in its next turn."""
+    """Blocks the event loop: all timers that expire meanwhile are due in its next iteration."""
     time.sleep(seconds)
 
 
@@ -155,7 +155,7 @@
 
 
 def question(name, body=BODY, **headers):
-    told = {
+    fields = {
         "host": "origin.svc",
         "req-id": name,
         "req-kind": "lookup",
@@ -163,8 +163,8 @@
         "req-deadline-ms": "4000",
         "req-extra": "prefix=5c0f,prompt_len=80,prefix_len=40,max_out=64",
     }
-    told |= {word.replace("_", "-"): value for word, value in headers.items()}
-    return http.request("POST", "/v1/chat/completions?a=b", {k: v for k, v in told.items() if v is not None}, body)
+    fields |= {field.replace("_", "-"): value for field, value in headers.items()}
+    return http.request("POST", "/v1/chat/completions?a=b", {k: v for k, v in fields.items() if v is not None}, body)
 
 
 async def answer(transport):
@@ -202,27 +202,27 @@
 
 
 class Heard(Router):
-    """Keeps what it was told of questions and outcomes, and what it was made with."""
+    """A Router that records the request events that it gets, and the arguments that it is built with."""
 
     made = []
 
-    def __init__(self, host, **given):
-        super().__init__(host, **given)
+    def __init__(self, host, **kwargs):
+        super().__init__(host, **kwargs)
         self.told, self.reports = [], []
-        Heard.made.append((self, {k: v for k, v in given.items() if k not in ("seed", "now")}))
+        Heard.made.append((self, {k: v for k, v in kwargs.items() if k not in ("seed", "now")}))
 
     def arrived(self, now, view):
         self.told.append(("arrived", {k: v for k, v in vars(view).items() if k != "patience"}))
         super().arrived(now, view)
 
-    def first_token(self, now, view, send):
-        self.told.append(("first", send.worker.endpoint.role))
-        super().first_token(now, view, send)
+    def first_token(self, now, view, attempt):
+        self.told.append(("first", attempt.worker.endpoint.role))
+        super().first_token(now, view, attempt)
 
-    def outcome(self, now, view, send, outcome, final, kept, report):
-        self.told.append((outcome, send.worker.endpoint.role, final, kept))
+    def outcome(self, now, view, attempt, outcome, final, kept, report):
+        self.told.append((outcome, attempt.worker.endpoint.role, final, kept))
         self.reports.append(report)
-        super().outcome(now, view, send, outcome, final, kept, report)
+        super().outcome(now, view, attempt, outcome, final, kept, report)
 
     def probed(self, now, endpoint, outcome, report):
         self.told.append(("probed", outcome, report))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""The one helper of the stories on sockets: a stand-in fleet and a router in this process, on ports of the system's."""
+"""Fixture of the tests on sockets: a stand-in fleet and a router in this process, on ports chosen by the system."""
 
 import asyncio
 import tempfile
@@ -37,8 +37,8 @@
         await self.fleet.stop()
         self.folder.cleanup()
 
-    async def ask(self, path, body, **more):
-        return await ask("127.0.0.1", self.port, path, body, **more)
+    async def ask(self, path, body, **kwargs):
+        return await ask("127.0.0.1", self.port, path, body, **kwargs)
 
     async def chat(self, text="When does the lock open?", most=6, stream=True, headers=None, patience=30.0, **body):
         return await self.ask(
@@ -54,14 +54,14 @@
             patience=patience,
         )
 
-    async def embed(self, given="lock times", **more):
-        return await self.ask("/v1/embeddings", {"model": VECTORS, "input": given, **more})
+    async def embed(self, given="lock times", **fields):
+        return await self.ask("/v1/embeddings", {"model": VECTORS, "input": given, **fields})
 
-    async def rerank(self, query="lock", documents=("lock times", "boat hire"), path="/v1/rerank", **more):
-        return await self.ask(path, {"model": VECTORS, "query": query, "documents": list(documents), **more})
+    async def rerank(self, query="lock", documents=("lock times", "boat hire"), path="/v1/rerank", **fields):
+        return await self.ask(path, {"model": VECTORS, "query": query, "documents": list(documents), **fields})
 
     async def settled(self, within=3.0):
-        """Waits until nothing is held for any question; the books must come back to empty."""
+        """Waits until no request is pending and no KV state is held, and fails if any remains after `within` seconds."""
         for _ in range(int(within / 0.02)):
             if (
                 not self.board.pending()
@@ -78,11 +78,11 @@
         return [entry for entry in self.fleet.ledger if entry.what in what]
 
 
-def story(told):
-    """Runs an async story on uvloop."""
+def story(test):
+    """Makes an async test function into one that runs on uvloop."""
 
     def run():
-        uvloop.run(told())
+        uvloop.run(test())
 
-    run.__name__ = told.__name__
+    run.__name__ = test.__name__
     return run
--- a/tests/test_grid.py
+++ b/tests/test_grid.py
@@ -1,4 +1,4 @@
-"""Stories of the grid, of records of the bench's wire, and of other texts of the module beside the present one."""
+"""Tests of the cost grid, of records taken by the bench adapter, and of other versions of the decision module."""
 
 import csv
 import io
@@ -16,16 +16,16 @@
 
 
 def test_a_made_day_has_every_trouble_and_leaves_nothing_behind(tmp_path):
-    path = grid.record(SMALL, tmp_path / "day.rec")
+    path = grid.record(SMALL, tmp_path / "events.rec")
     _, steps = events.read(path)
     steps = list(steps)
     outcomes = {step.given[2] for step in steps if step.event == "outcome"}
     assert {"read", "done", "no_room", "too_slow"} <= outcomes
     assert sum(step.event == "listed" for step in steps) == 2
-    answers = sum(a[0] in ("turn_back", "scrap") for step in steps for a in step.actions) + sum(
+    final_answers = sum(a[0] in ("turn_back", "scrap") for step in steps for a in step.actions) + sum(
         step.event == "outcome" and step.given[3] for step in steps
     )
-    assert answers == SMALL.questions
+    assert final_answers == SMALL.questions
 
 
 def test_one_seed_gives_one_record(tmp_path):
@@ -35,15 +35,15 @@
 
 def test_a_text_that_decides_otherwise_is_no_cell_of_the_grid(tmp_path):
     text = Path(rules.__file__).read_text()
-    for line, other in (
+    for setting, changed_setting in (
         ("SHORT_LIST_WORKERS = 5 ", "SHORT_LIST_WORKERS = 1 "),
         ("DRAWN_WORKERS = 8 ", "DRAWN_WORKERS = 1 "),
     ):
-        assert text.count(line) == 1
-        text = text.replace(line, other)
+        assert text.count(setting) == 1
+        text = text.replace(setting, changed_setting)
     (tmp_path / "rules.py").write_text(text)
-    path = grid.record(SMALL, tmp_path / "day.rec")
-    with pytest.raises(replay.Difference, match=r"day\.rec step \d+"):
+    path = grid.record(SMALL, tmp_path / "events.rec")
+    with pytest.raises(replay.Difference, match=r"events\.rec step \d+"):
         grid.measure(SMALL, path, {"other": replay.text_of(tmp_path / "rules.py")}, 1)
 
 
@@ -51,8 +51,8 @@
     parts = Path(rules.__file__).with_name("parts.py").read_text()
     (tmp_path / "parts.py").write_text(parts + "\n\ndef median(figures):\n    return 12345\n")
     (tmp_path / "rules.py").write_text(Path(rules.__file__).read_text())
-    other = replay.text_of(tmp_path / "rules.py")
-    assert other.on_ended.__globals__["median"]([1]) == 12345
+    other_router = replay.text_of(tmp_path / "rules.py")
+    assert other_router.on_ended.__globals__["median"]([1]) == 12345
     assert rules.median([1]) == 1
 
 
@@ -62,7 +62,7 @@
 
 
 def test_the_grid_writes_a_row_for_each_kind_and_a_chart(tmp_path):
-    said = []
+    printed = []
     means = grid.run(
         tmp_path,
         {"now": rules.Router, "again": rules.Router},
@@ -70,7 +70,7 @@
         routers=[1, 8],
         questions=20,
         rounds=1,
-        say=said.append,
+        say=printed.append,
     )
     rows = list(csv.DictReader((tmp_path / "cost.csv").open()))
     assert {(row["routers"], row["text"]) for row in rows} == {
@@ -80,7 +80,7 @@
         ("8", "again"),
     }
     assert {"arrived", "outcome", "reminded"} <= {row["event"] for row in rows}
-    assert len(means) == 4 and len(said) == 2 and "ratio" in said[0]
+    assert len(means) == 4 and len(printed) == 2 and "ratio" in printed[0]
     assert (tmp_path / "cost.svg").read_text().startswith("<?xml")
 
 
@@ -90,8 +90,8 @@
 "Effect": "free"}], "Report": {"How": "none"}, "ResolutionS": 0.004}""".replace("\n", " ")
 
 
-def day(names):
-    """A wire of two routers: a list, and questions that are read and written."""
+def bench_input(names):
+    """Bench input lines for two routers: a list of workers, then requests that are prefilled and decoded."""
     lines = ["BATCH 0.0"] + [f"POWER_ON {name} {seed} {PROFILE}" for seed, name in enumerate(names)]
     for name in names:
         lines += [f"MEMBERSHIP {name} 1 full 4"] + [
@@ -108,18 +108,18 @@
 
 
 def test_a_tapped_adapter_answers_the_same_and_its_records_replay(tmp_path):
-    plain, tapped = io.StringIO(), io.StringIO()
-    wire.serve(iter(day(["a", "b"])), plain)
-    tap.serve(iter(day(["a", "b"])), tapped, tmp_path)
-    assert plain.getvalue() == tapped.getvalue() and "ATTEMPT a q0" in plain.getvalue()
+    expected, recorded = io.StringIO(), io.StringIO()
+    wire.serve(iter(bench_input(["a", "b"])), expected)
+    tap.serve(iter(bench_input(["a", "b"])), recorded, tmp_path)
+    assert expected.getvalue() == recorded.getvalue() and "ATTEMPT a q0" in expected.getvalue()
     assert [path.name for path in sorted(tmp_path.iterdir())] == ["000-a.rec", "001-b.rec"]
-    told = replay.replay(tmp_path, rules.Router)
-    assert told["arrived"][0] == 6 and told["listed"][0] == 2
+    costs = replay.replay(tmp_path, rules.Router)
+    assert costs["arrived"][0] == 6 and costs["listed"][0] == 2
 
 
 def test_records_are_closed_when_the_wire_breaks_off(tmp_path):
     with pytest.raises(wire.Malformed):
-        tap.serve(iter(day(["a", "b"])[:-1]), io.StringIO(), tmp_path)
+        tap.serve(iter(bench_input(["a", "b"])[:-1]), io.StringIO(), tmp_path)
     assert replay.replay(tmp_path, rules.Router)["arrived"][0] == 6
 
 
