--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -327,10 +327,12 @@
                 ]
             )
         for (alone, score), (informed, informed_score) in zip(*figures):
-            assert abs(informed.load - alone.load) <= PEER_LOAD_SHIFT_MAX + 1e-9, seed
-            assert abs(informed.queued_tokens - alone.queued_tokens) * informed.pace <= PEER_WAIT_SHIFT_MAX + 1e-6, seed
+            assert abs(informed.memory_load - alone.memory_load) <= PEER_LOAD_SHIFT_MAX + 1e-9, seed
+            assert (
+                abs(informed.queued_tokens - alone.queued_tokens) * informed.prefill_pace <= PEER_WAIT_SHIFT_MAX + 1e-6
+            ), seed
             assert 0 <= informed_score - score <= PEER_FAILURE_SCORE, seed
-            assert (informed.wait, informed.pace, informed.stream_lateness) == (
+            assert (informed.first_token_time, informed.prefill_pace, informed.stream_lateness) == (
                 alone.first_token_time,
                 alone.prefill_pace,
                 alone.stream_lateness,
