--- a/ramppulley/door.py
+++ b/ramppulley/door.py
@@ -3,10 +3,10 @@
 Times are integers in tenths of a millisecond; `now` is read from any monotonic clock. The host of a `rules.Router` makes one
 Endpoint per worker and one RequestView per request, and passes the same objects with each event; ids stay with the host.
 
-Recorded event files and older texts of `rules.py`, which are loaded beside this module to be compared with the present one,
-refer to some names as they were first chosen. These names stay: the fields of the classes here, the outcome constants and
-their values, the methods of Host, the Router's event methods (`listed` to `reminded`, `configured`) and the keywords of its
-constructor and of `configured`. Where such a name is not the term of the field, the comment beside it gives the term.
+Recorded event files and older versions of `rules.py`, which are loaded beside this module to be compared with the present
+one, refer to some names as they were first chosen. These names stay: the fields of the classes here, the outcome constants
+and their values, the methods of Host, the Router's event methods (`listed` to `reminded`, `configured`) and the keywords of
+its constructor and of `configured`. Where such a name is not the term of the field, the comment beside it gives the term.
 """
 
 from dataclasses import dataclass
@@ -83,9 +83,8 @@
     weight: float = 1.0
     state: str = "ready"  # ready, draining or gone
     born: int | None = None  # time of its last start; None = so long ago that it is warmed up
-    usual: bool = (
-        True  # whether it is in this router's subset; workers outside it serve only what the subset cannot in time
-    )
+    # Whether it is in this router's subset; workers outside the subset serve only what the subset cannot serve in time.
+    usual: bool = True
     heard: PeerReport | None = None  # of other routers, where peer reports are exchanged
     trial: bool = True  # False: while it is suspect, another router holds the permit for the half-open probe
 
--- a/ramppulley/drill/wire.py
+++ b/ramppulley/drill/wire.py
@@ -40,7 +40,8 @@
 
 
 def figure(text):
-    """
+    """A number of a load report; None where the text is not a number.
+
     >>> figure("1.5"), figure("-"), figure("noise")
     (1.5, None, None)
     """
@@ -51,6 +52,7 @@
 
 
 def whole(text):
+    """A whole number; 0 for '-'."""
     return 0 if text == "-" else int(float(text))
 
 
@@ -323,11 +325,11 @@
 
 def raised_in_module(fault):
     """Whether an exception was raised in the decision module, and not while parsing."""
-    step = fault.__traceback__
-    while step:
-        if step.tb_frame.f_globals.get("__name__") == "ramppulley.rules":
+    trace = fault.__traceback__
+    while trace:
+        if trace.tb_frame.f_globals.get("__name__") == "ramppulley.rules":
             return True
-        step = step.tb_next
+        trace = trace.tb_next
     return False
 
 
--- a/ramppulley/parts.py
+++ b/ramppulley/parts.py
@@ -12,7 +12,7 @@
 
 
 class Actor:
-    """Handles one message at a time from its inbox, by its method `on_<event>`."""
+    """Handles the notes (messages) in its inbox one at a time: the note `event` by its method `on_<event>`."""
 
     __slots__ = "router", "inbox", "turn", "__weakref__"
 
@@ -24,6 +24,7 @@
         return self.router.clock
 
     def note(self, event, *arguments):
+        """Adds a note to the inbox; `Router.tell` delivers it within the same call from the host."""
         self.inbox.append((event, arguments))
         self.router.due.append(self)
 
@@ -193,14 +194,12 @@
         return self.by_role.get(worker.endpoint.role, [])
 
 
-FIRST_MULTIPLIER, SECOND_MULTIPLIER, WORD_MASK, LANE_BITS = (
-    0x9E3779B97F4A7C15,
-    0xD6E8FEB86659FD93,
-    0xFFFFFFFFFFFFFFFF,
-    128,
-)
-# Cache bounds: keys per list of workers; lists (routers may see different lists at a time).
-DRAWN_KEYS, MAX_CACHED_LISTS = 1024, 16
+FIRST_MULTIPLIER = 0x9E3779B97F4A7C15
+SECOND_MULTIPLIER = 0xD6E8FEB86659FD93
+WORD_MASK = 0xFFFFFFFFFFFFFFFF
+LANE_BITS = 128
+DRAWN_KEYS = 1024  # maximum number of keys whose orders are cached, per list of workers
+MAX_CACHED_LISTS = 16  # more than one, as the routers of a process may see different lists at a time
 
 
 class RendezvousOrders:
@@ -319,7 +318,8 @@
 
 
 def mean(figures):
-    """
+    """The mean of the figures that are not None; 0.0 if there are none.
+
     >>> mean([1, None, 3]), mean([])
     (2.0, 0.0)
     """
--- a/ramppulley/profile.py
+++ b/ramppulley/profile.py
@@ -205,8 +205,8 @@
             and 0 <= v <= MAX_REPORTED_VALUE
         }
         named: dict[str, Any] = {
-            field_name: known[field] * times
-            for field, (field_name, times) in self.report_meanings.items()
+            field_name: known[field] * factor
+            for field, (field_name, factor) in self.report_meanings.items()
             if field in known
         }
         latency_ms = known.get("lat_ms")
@@ -272,24 +272,22 @@
             endpoint = None
         if endpoint is None:
             endpoint = self._add(entry)
-        endpoint.cell, endpoint.zone, endpoint.weight, endpoint.state, endpoint.born = (
-            entry.group,
-            entry.zone,
-            entry.weight,
-            entry.state,
-            entry.born,
-        )
+        endpoint.cell = entry.group
+        endpoint.zone = entry.zone
+        endpoint.weight = entry.weight
+        endpoint.state = entry.state
+        endpoint.born = entry.born
         changed.append(endpoint)
         return changed
 
     def _remove_unlisted(self, named: set[str]) -> list[door.Endpoint]:
         """Marks as gone, and returns, the endpoints that a whole list does not name."""
-        ended = [
+        unlisted = [
             endpoint for name, endpoint in self.endpoints.items() if name not in named and endpoint.state != "gone"
         ]
-        for endpoint in ended:
+        for endpoint in unlisted:
             endpoint.state = "gone"
-        return ended
+        return unlisted
 
     def forget(self, name: str) -> None:
         """Removes a worker that is gone for good; a later entry with its id is a new worker."""
--- a/ramppulley/rules.py
+++ b/ramppulley/rules.py
@@ -41,8 +41,8 @@
     median,
 )
 
-# Times are whole tenths of a millisecond. Scores of a pair of workers are in latency targets, and a lower score is better;
-# `_OF_TARGET` is a part of a request's latency target.
+# Times are whole tenths of a millisecond. Scores of a pair of workers are in units of the request's latency target, and a
+# lower score is better. A constant that ends in `_OF_TARGET` is a fraction of that target.
 MS = 10  # tenths of a millisecond
 
 # Draws
@@ -92,7 +92,7 @@
 # Slow start
 SLOW_START_BUDGET_SHARE = 0.85  # of the budget that the settings allow, used by all routers together
 SLOW_START_RAMP_SHARE = 0.5  # of an even rise to full capacity, which the budget counts on
-SLOW_START_PROMPT_FACTOR = 4  # longer prompts, in median prompts, go to a worker that warms up only if all like it do
+SLOW_START_PROMPT_FACTOR = 4  # in median prompts; longer ones go to a worker that warms up only if its whole role does
 
 # Admission
 FULL_MEMORY_SHARE = 0.92  # decode requests wait beyond this share of a worker's memory
@@ -101,7 +101,7 @@
 ADMISSION_BASE_OF_TARGET = 0.33  # expected time to the first token up to which any request is admitted
 ADMISSION_VALUE_OF_TARGET = 0.27  # added to it for a request of the highest value
 LONG_PROMPT_FACTOR = 2  # a prompt of more than so many median prompts is long
-LONG_PROMPT_WAIT_SHARE = 0.35  # of the limit of a long prompt, for what precedes its own prefill
+LONG_PROMPT_WAIT_SHARE = 0.35  # of the usual limit, which a long prompt may wait before its own prefill
 
 # Peer reports
 PEER_LOAD_SHIFT_MAX = 0.25  # peer reports move the estimated load of a worker by so much at most ...
@@ -165,23 +165,16 @@
         self.can_decode = endpoint.role != "read"
         self.state, self.started_at, self.probing, self.missed_probes = endpoint.state, endpoint.born, False, 0
         self.open_attempts, self.prefix_cache = [], PrefixCache(endpoint.memory)
-        self.open_uncached_tokens = 0  # prompt tokens of the open attempts without a cached prefix
+        self.open_uncached_tokens = 0  # prompt tokens of the open attempts that no cached prefix covers
         self.open_memory_tokens = 0  # tokens that the open attempts take
         self.load_estimate = None  # result of `memory_load`, valid until the next change
         self.load_estimate_until = 0
         self.reports, self.attempt_starts = deque(maxlen=3), deque(maxlen=4 * SAMPLE_COUNT)
-        # Times to the first token, the same over a shorter span, times per uncached token, actual over promised time of
-        # streams, and times of streams.
-        (
-            self.first_token_times,
-            self.recent_first_token_times,
-            self.prefill_paces,
-            self.stream_slowness,
-            self.stream_times,
-        ) = (
-            Samples(span, SAMPLE_COUNT)
-            for span in (SAMPLE_MAX_AGE, SAMPLE_MAX_AGE // 3, SAMPLE_MAX_AGE, SAMPLE_MAX_AGE, SAMPLE_MAX_AGE)
-        )
+        self.first_token_times = Samples(SAMPLE_MAX_AGE, SAMPLE_COUNT)
+        self.recent_first_token_times = Samples(SAMPLE_MAX_AGE // 3, SAMPLE_COUNT)
+        self.prefill_paces = Samples(SAMPLE_MAX_AGE, SAMPLE_COUNT)  # times per uncached token
+        self.stream_slowness = Samples(SAMPLE_MAX_AGE, SAMPLE_COUNT)  # actual over promised time of streams
+        self.stream_times = Samples(SAMPLE_MAX_AGE, SAMPLE_COUNT)
         self.rejections = deque(maxlen=SAMPLE_COUNT)  # time, request class and tenant of each
         self.last_heard_at = self.now
         self.reported_at = 0
@@ -268,13 +261,12 @@
         return waiting if waiting > 0 else 0
 
     def memory_load(self):
-        """Share of its memory in use: the mean of its last reports, each corrected by what routers like us sent since."""
+        """Share of its memory in use: the mean of its last reports, each corrected by the change of our own open attempts
+        since, scaled up to all routers. None without recent reports."""
         now = self.router.clock
         if now >= self.load_estimate_until:
-            capacity, recent = (
-                self.endpoint.memory or 1,
-                [r for r in self.reports if now - r[0] < SAMPLE_MAX_AGE],
-            )
+            capacity = self.endpoint.memory or 1
+            recent = [r for r in self.reports if now - r[0] < SAMPLE_MAX_AGE]
             loads = [
                 r.memory_share + (self.open_memory_tokens - ours) * self.router.router_scale / capacity
                 for at, r, _, ours in recent
@@ -298,7 +290,8 @@
         )
 
     def rejection_likelihood(self, request):
-        """0 to 1: how likely it rejects the request for lack of capacity, by recent rejections of its tenant and class."""
+        """How likely it rejects the request for lack of capacity, by rejections of its tenant and class: 1 just after one
+        that matches both, falling with its age to 0 after REJECTION_MAX_AGE and further below."""
         now, request_class, tenant, likelihood = self.router.clock, request.view.use_case, request.tenant, -1e9
         for at, rejected_class, rejected_tenant in reversed(self.rejections):
             matches = (rejected_class is request_class) + (rejected_tenant is tenant)
@@ -323,10 +316,8 @@
         densest recent run of attempts at workers of its role, gone ones included, as all of the present ones may be warming
         up.
         """
-        settings, same_role = (
-            self.router.policy_settings,
-            [w for w in self.router.workers.values() if w.endpoint.role == self.endpoint.role],
-        )
+        settings = self.router.policy_settings
+        same_role = [w for w in self.router.workers.values() if w.endpoint.role == self.endpoint.role]
         count, span = densest_window([w.attempt_starts for w in same_role], 4 * SAMPLE_COUNT)
         if count < SAMPLE_COUNT:
             return int(settings.cold_window * max(2, self.router.routers / 2))
@@ -403,10 +394,8 @@
             self.half_open_at = self.now + HALF_OPEN_DELAY_MAX
 
     def add_open_tokens(self, attempt, sign):
-        self.open_uncached_tokens, self.open_memory_tokens = (
-            self.open_uncached_tokens + attempt.uncached_tokens * sign,
-            self.open_memory_tokens + attempt.memory * sign,
-        )
+        self.open_uncached_tokens = self.open_uncached_tokens + attempt.uncached_tokens * sign
+        self.open_memory_tokens = self.open_memory_tokens + attempt.memory * sign
         self.load_estimate_until = 0
 
     def on_first_token(self, attempt):
@@ -438,7 +427,7 @@
                 now, elapsed / (attempt.uncached_tokens + attempt.queued_tokens + PREFILL_OVERHEAD_TOKENS)
             )
         if outcome == READ or (outcome == DONE and self.can_prefill):
-            # It evicted what we counted on, so it has evicted other text too.
+            # The worker has evicted the prefix that we counted on, so it has probably evicted others too.
             if cached_tokens < (view.prompt - attempt.uncached_tokens) // 2:
                 self.prefix_cache.clear()
             self.prefix_cache.add(view.session, view.prompt)
@@ -534,8 +523,8 @@
         Without proof only a part of the workers of its role may be suspect at once, as overload makes all of them silent.
         """
         same_role = self.router.roster.same_role(self)
-        most = len(same_role) if self.suspect else max(1, SUSPECT_SHARE_MAX * len(same_role))
-        if not proved and sum(bool(w.suspect) for w in same_role if w is not self) + 1 > most:
+        max_suspects = len(same_role) if self.suspect else max(1, SUSPECT_SHARE_MAX * len(same_role))
+        if not proved and sum(bool(w.suspect) for w in same_role if w is not self) + 1 > max_suspects:
             return
         if not self.suspect:
             self.router.host.log(f"worker {self.name} doubted: {reason}")
@@ -552,12 +541,10 @@
 
     def __init__(self, router, view, capabilities):
         super().__init__(router)
-        self.view, self.capabilities, self.arrived_at, self.client_deadline = (
-            view,
-            capabilities,
-            self.now,
-            self.now + view.patience,
-        )
+        self.view = view
+        self.capabilities = capabilities
+        self.arrived_at = self.now
+        self.client_deadline = self.now + view.patience
         self.latency_target = view.use_case.promised + view.use_case.promised_per_k * view.prompt // 1000
         self.expected_output_tokens = view.likely_out or view.most_out // 3
         self.prompt_ratio = view.prompt / (median(router.prompt_lengths) or view.prompt or 1)  # over the median prompt
@@ -724,11 +711,9 @@
     def hand_over(self):
         """Sends the decode attempt that fetches the KV state: to the worker with the reservation, else to the planned ones,
         else to the next of the same group."""
-        admission, group, wait_limit = (
-            self.router.admission,
-            self.state_worker.endpoint.cell,
-            CROSS_GROUP_AFTER_OF_TARGET * self.latency_target,
-        )
+        admission = self.router.admission
+        group = self.state_worker.endpoint.cell
+        wait_limit = CROSS_GROUP_AFTER_OF_TARGET * self.latency_target
         candidates = (
             self.planned_decode_workers
             + self.roster.decode_by_group.get(group, [])
@@ -762,10 +747,8 @@
         """The only place that ends a request by our own decision: rejects it where a repeat is harmless, else fails it."""
         if self.closed or (self.streaming and self.open_attempts and not self.view.whole):
             return
-        request_class, may_have_run = (
-            self.view.use_case,
-            self.maybe_ran or any(not a.is_prefill for a in self.open_attempts),
-        )
+        request_class = self.view.use_case
+        may_have_run = self.maybe_ran or any(not a.is_prefill for a in self.open_attempts)
         if (
             request_class.effect == "pure"
             or not may_have_run
@@ -899,7 +882,8 @@
             return
         self.on_listed()  # also ends those whose idempotency key has expired since
         for queue in (self.new_requests, self.retried_requests):
-            capacity = True  # until one request finds none; else a pass would cost as much as the queue is long
+            # Until a request finds none: the others are not tried then, as a pass would take longer the longer the queue is.
+            capacity = True
             for request in sorted(queue, key=lambda r: -r.view.use_case.benefit):
                 if request.closed or (capacity and self.try_admit(request)):
                     queue.remove(request)
@@ -921,10 +905,8 @@
 
     def queue_deadline(self, request):
         """When it leaves the queue: early enough that its client can retry before its own deadline."""
-        latest, wait_of_target = (
-            request.client_deadline - 2 * DEADLINE_MARGIN,
-            1 if request.attempts_started else QUEUE_WAIT_OF_TARGET,
-        )
+        latest = request.client_deadline - 2 * DEADLINE_MARGIN
+        wait_of_target = 1 if request.attempts_started else QUEUE_WAIT_OF_TARGET
         latest -= request.latency_target // 4 * bool(request.attempts_started)
         return min(request.idle_since + wait_of_target * request.latency_target, latest)
 
@@ -959,7 +941,8 @@
         """A few usable decode workers in the session's rendezvous order, the own zone first.
 
         The draw is weighted and the same at every router, so that a session's preferred group, that of the first worker, is
-        the same at all of them. Routers with the same old reports must not all choose the same best worker.
+        the same at all of them. Drawing by session also keeps routers that have the same outdated reports from all choosing
+        the same best worker.
         """
         roster, attempts, zone = request.roster, request.attempts_started, self.zone
         if request.draw_order[0] is not roster or request.draw_order[1] != attempts:
@@ -968,14 +951,14 @@
         drawn = self.first_usable(request, roster.decode_workers, request.draw_order[2], DRAWN_WORKERS)
         return [w for w in drawn if w.endpoint.zone == zone] + [w for w in drawn if w.endpoint.zone != zone]
 
-    def first_usable(self, request, workers, order, most=None):
-        """The first usable workers in the given order of indices."""
-        first = [workers[i] for i in order[:most]]
+    def first_usable(self, request, workers, order, max_count=None):
+        """The first usable workers in the given order of indices, all of them where `max_count` is None."""
+        first = [workers[i] for i in order[:max_count]]
         if not request.open_attempts and not request.maybe_ran and all([w.always_usable for w in first]):
             return first
         if request.open_attempts or request.maybe_ran:
             order = [i for i in order if request.may_run_at(workers[i])]
-        return list(islice((w for i in order if (w := workers[i]).always_usable or w.usable(request)), most))
+        return list(islice((w for i in order if (w := workers[i]).always_usable or w.usable(request)), max_count))
 
     def worker_score(self, worker, request):
         """The part of a score that is common to both roles: zone, rejections, peer reports and missed probes."""
@@ -1022,39 +1005,33 @@
             median([part for at, part in self.cross_group_hand_overs if self.now - at < 2 * SAMPLE_MAX_AGE])
             or CROSS_GROUP_SCORE / 3
         )
-        candidates = {}  # scored prefill workers by place and preference
-        plain = {}  # scored prefill workers
-        preferred = {}  # the same as preferred replicas
+        candidates = {}  # lists of scored prefill workers, by the draw's arguments and `own_group`
+        plain = {}  # scores of prefill workers
+        preferred = {}  # scores of prefill workers as preferred replicas
         best = None
         min_score = 0
         draws = roster.prefill_orders
         # Deviation from the published pair mechanism: where there are only mixed workers, each prefills all prompts itself.
         mixed_only, fast_enough = not roster.prefill_workers, CROSS_GROUP_AFTER_OF_TARGET * target
         for decode_worker in list(ranked)[:SHORT_LIST_WORKERS]:
-            group, zone, short = (
-                decode_worker.endpoint.cell,
-                decode_worker.endpoint.zone,
-                decode_worker.endpoint.cell in roster.short_groups,
-            )
-            decode_score, fastest, wait = (
-                ranked[decode_worker] + (decode_worker in tried),
-                target,
-                decode_worker.cached_figures.first_token_time,
-            )
+            group = decode_worker.endpoint.cell
+            zone = decode_worker.endpoint.zone
+            short = decode_worker.endpoint.cell in roster.short_groups
+            decode_score = ranked[decode_worker] + (decode_worker in tried)
+            fastest = target
+            wait = decode_worker.cached_figures.first_token_time
             if decode_worker.can_prefill:
                 prefill_time, score, _ = self.score_prefill(request, decode_worker, plain)
                 if prefill_time <= MIXED_PREFILL_OF_TARGET * target or mixed_only:
                     fastest, score = min(fastest, prefill_time), score + decode_score
                     if best is None or score < min_score:
                         # Where all workers are mixed, `wait` was measured up to the first token and contains the prefill.
-                        best, min_score = (
-                            (
-                                max(prefill_time, wait) if mixed_only else prefill_time + wait,
-                                decode_worker,
-                                decode_worker,
-                            ),
-                            score,
+                        best = (
+                            max(prefill_time, wait) if mixed_only else prefill_time + wait,
+                            decode_worker,
+                            decode_worker,
                         )
+                        min_score = score
             # Deviations from the published pair mechanism: prefill workers of all groups where the own group has few, and of
             # other groups where the own ones are gone or far behind.
             sources = (
@@ -1069,13 +1046,15 @@
                     ),
                 ]
             )
-            for draw, place, distance in sources:
+            for draw, draw_arguments, cross_group_score in sources:
                 own_group = short or decode_worker is drawn[0]
-                scored = candidates.get((place, own_group))
+                scored = candidates.get((draw_arguments, own_group))
                 if scored is None:
-                    most = DRAWN_WORKERS if draw == draws.outside_group else None
-                    workers = self.first_usable(request, roster.prefill_workers, draw(request.prefix_key, *place), most)
-                    scored = candidates[place, own_group] = [
+                    max_count = DRAWN_WORKERS if draw == draws.outside_group else None
+                    workers = self.first_usable(
+                        request, roster.prefill_workers, draw(request.prefix_key, *draw_arguments), max_count
+                    )
+                    scored = candidates[draw_arguments, own_group] = [
                         preferred.get((worker, own_group)) or self.score_prefill(request, worker, preferred, own_group)
                         for worker in workers[:1]
                     ]
@@ -1085,7 +1064,7 @@
                 for prefill_time, score, prefill_worker in scored:
                     if prefill_time < fastest:
                         fastest = prefill_time
-                    score += decode_score + distance * (prefill_worker.endpoint.cell != group)
+                    score += decode_score + cross_group_score * (prefill_worker.endpoint.cell != group)
                     if best is None or score < min_score:
                         best, min_score = (prefill_time + wait, prefill_worker, decode_worker), score
                 if fastest <= fast_enough:
@@ -1104,12 +1083,10 @@
         Prefix affinity: a preferred replica, for which `own_group` is given, is taken to have cached most of the shared
         prefix, and in the session's preferred group (`own_group` is true) also a part of the session's text.
         """
-        view, figures, tokens, reports = (
-            request.view,
-            worker.cached_figures,
-            worker.prefix_cache.tokens,
-            worker.reports,
-        )
+        view = request.view
+        figures = worker.cached_figures
+        tokens = worker.prefix_cache.tokens
+        reports = worker.reports
         if worker.figures_turn != worker.turn or self.router.clock - worker.figures_at > TICK_INTERVAL // 2:
             figures = worker.figures()
         cached_tokens = worker.prefix_cache.cached_tokens(view) if tokens else 0
@@ -1151,36 +1128,34 @@
 
     def configured(self, now, *, routers, zone, use_cases, accounts, permits, lawbook):
         """Takes new settings for requests that arrive from now on; admitted ones keep the terms of their admission."""
-        self.routers, self.router_scale, self.capabilities, self.policy_settings = (
-            routers,
-            min(routers, ROUTER_SCALE_MAX),
-            permits,
-            lawbook,
-        )
+        self.routers = routers
+        self.router_scale = min(routers, ROUTER_SCALE_MAX)
+        self.capabilities = permits
+        self.policy_settings = lawbook
         self.tell(now, (self.admission, "configured", zone, use_cases, accounts))
 
     def tell(self, now, *notes):
         """Sets the clock and delivers these notes, and all that they lead to, one at a time in the order they were sent."""
         self.clock = now
         due = self.due
-        for actor, word, *arguments in notes:
-            actor.inbox.append((word, arguments))
+        for actor, event, *arguments in notes:
+            actor.inbox.append((event, arguments))
             due.append(actor)
         while due:
             actor = due.popleft()
-            word, arguments = actor.inbox.popleft()
+            event, arguments = actor.inbox.popleft()
             actor.turn += 1
-            getattr(actor, NOTE_HANDLERS[word])(*arguments)
+            getattr(actor, NOTE_HANDLERS[event])(*arguments)
 
     def may_start(self, request, worker, reservation=False):
         """Checks rules 1 to 4 for every attempt and every reservation."""
         if request.closed or request.streaming or request.remaining_time() <= 0:  # rule 1
             return False
-        may = reservation or (request.attempts_started < request.capabilities.sends and request.may_run_at(worker))
-        may = may and worker.accepts(request)  # rules 2, 3 and 4
-        if may and not reservation:
+        allowed = reservation or (request.attempts_started < request.capabilities.sends and request.may_run_at(worker))
+        allowed = allowed and worker.accepts(request)  # rules 2, 3 and 4
+        if allowed and not reservation:
             self.awaited_workers.add(worker)
-        return may
+        return allowed
 
     def on_timer(self):
         """The tick, which runs only while a request has no first token; or the end of a wait for probes."""
@@ -1207,15 +1182,13 @@
         """(time, average figures of the workers of its role, figures of one without recent data), renewed once a tick."""
         at, *_ = known = self.fleet_figures.get(worker.endpoint.role, (-TICK_INTERVAL, None))
         if self.clock - at >= TICK_INTERVAL:
-            clock, load, wait, pace, queued_tokens, slowness, stream_time = (
-                self.clock,
-                0.0,
-                0,
-                INITIAL_PREFILL_PACE,
-                0,
-                0.0,
-                SAMPLE_MAX_AGE,
-            )
+            clock = self.clock
+            load = 0.0
+            wait = 0
+            pace = INITIAL_PREFILL_PACE
+            queued_tokens = 0
+            slowness = 0.0
+            stream_time = SAMPLE_MAX_AGE
             same_role = [w for w in self.roster.same_role(worker) if clock - w.reported_at < SAMPLE_MAX_AGE]
             if worker.can_prefill:
                 pace = median([p for w in same_role for p in w.prefill_paces.recent(clock)]) or INITIAL_PREFILL_PACE
@@ -1298,7 +1271,7 @@
 
 NOTE_HANDLERS = {
     method[3:]: method
-    for part in (Worker, PolicyRequest, AdmissionQueue, Router)
-    for method in vars(part)
+    for actor_class in (Worker, PolicyRequest, AdmissionQueue, Router)
+    for method in vars(actor_class)
     if method[:3] == "on_"
 }
--- a/ramppulley/service/core.py
+++ b/ramppulley/service/core.py
@@ -35,12 +35,10 @@
         self, pool, make_router, connector, clock, use_cases, accounts, event_log, log, estimator, name_of, audit=None
     ):
         self.pool, self.connector, self.clock, self.event_log, self._log = pool, connector, clock, event_log, log
-        self.request_classes, self.tenant_numbers, self.estimator, self.name_of = (
-            use_cases,
-            accounts,
-            estimator,
-            name_of,
-        )
+        self.request_classes = use_cases
+        self.tenant_numbers = accounts
+        self.estimator = estimator
+        self.name_of = name_of
         self.audit = audit or RuleAudit(log, clock)
         self.requests, self.accepted, self.draining = {}, 0, False
         # maximum time that KV state is held, if the engines set one; tenths of a millisecond
@@ -240,11 +238,11 @@
     def _release_kv_state(self, tracked):
         """Requests the release of its KV state. An open decode that has reached its worker keeps the state it waits for:
         the state may then be held until the decode has ended, and is released again."""
-        decode_out = any(not attempt.is_prefill for attempt in tracked.open_attempts)
-        self._note_kv(tracked, KvStep.RELEASE_BESIDE if decode_out else KvStep.RELEASE)
+        decode_open = any(not attempt.is_prefill for attempt in tracked.open_attempts)
+        self._note_kv(tracked, KvStep.RELEASE_BESIDE if decode_open else KvStep.RELEASE)
         self.connector.release(tracked, tracked.state_endpoint, tracked.state)
         tracked.release_asked = True
-        if not decode_out:
+        if not decode_open:
             tracked.state = tracked.state_endpoint = None
 
     def withdraw(self, view, policy_attempt):
@@ -372,7 +370,7 @@
             tracked.reserved_endpoint = None
 
     def _set_final_answer(self, tracked, final_answer):
-        """Sets and sends the final answer. Each request has exactly one: a later one is counted as a violation."""
+        """Rule 1: sets and sends the final answer. Each request has exactly one: a later one is counted as a violation."""
         if tracked.final_answer is not None:
             self.audit.violation(
                 Violation.SECOND_ANSWER,
@@ -398,7 +396,7 @@
         del self.requests[tracked.view]
         tracked.request.body = None  # the largest part; other references may live until the next garbage collection
         request, final_answer, usage = tracked.request, tracked.final_answer, tracked.usage
-        case = tracked.view.use_case
+        request_class = tracked.view.use_case
         self.event_log.add(
             RequestRecord(
                 name=request.name,
@@ -406,7 +404,7 @@
                 model=request.model,
                 pool=self.pool,
                 use_case=request.request_class,
-                effect=case.effect,
+                effect=request_class.effect,
                 taken=tracked.accepted_at,
                 patience=request.deadline,
                 prompt=request.prompt,
@@ -415,7 +413,7 @@
                 prefix=request.prefix,
                 prefix_tokens=request.prefix_tokens,
                 most_out=request.max_out,
-                promised=case.promised + case.promised_per_k * request.prompt // 1000,
+                promised=request_class.promised + request_class.promised_per_k * request.prompt // 1000,
                 first=tracked.first_token_at,
                 ended=tracked.ended_at,
                 how=final_answer.result,
--- a/ramppulley/service/events.py
+++ b/ramppulley/service/events.py
@@ -154,13 +154,13 @@
         self._write(Step(method, now, recorded_args, self.recording_host.take_actions()))
 
     def listed(self, now, endpoints):
-        self._record("listed", now, [[self.objects.endpoints.of(b), asdict(b)] for b in endpoints], endpoints)
+        self._record("listed", now, [[self.objects.endpoints.of(e), asdict(e)] for e in endpoints], endpoints)
 
     def told(self, now, endpoints):
         self._record(
             "told",
             now,
-            [[self.objects.endpoints.of(b), b.heard and asdict(b.heard), b.trial] for b in endpoints],
+            [[self.objects.endpoints.of(e), e.heard and asdict(e.heard), e.trial] for e in endpoints],
             endpoints,
         )
 
--- a/ramppulley/service/neutral.py
+++ b/ramppulley/service/neutral.py
@@ -24,9 +24,8 @@
     TAKEN = "taken"  # the first token of the decode arrived
     GONE = "gone"  # reported missing by a decode worker, or fetched already
     RELEASE = "release"  # requested with no attempt open
-    RELEASE_BESIDE = (
-        "release beside a decode"  # requested with a decode open, which keeps the state if it has reached its worker
-    )
+    # Requested with a decode open, which keeps the state if it has reached its worker.
+    RELEASE_BESIDE = "release beside a decode"
 
 
 @dataclass(eq=False)
@@ -163,7 +162,7 @@
 
 class Connector(Protocol):
     """Carries out attempts at the engines. Reports through Core.first_token, Core.attempt_ended,
-    Core.reservation_answered and Core.probed, but never from within one of these calls."""
+    Core.reservation_answered and Core.probed, but never from within one of the calls below."""
 
     def start(self, core: Any, attempt: EngineAttempt) -> None: ...
     def cancel(self, attempt: EngineAttempt) -> None: ...
--- a/ramppulley/settings_fields.py
+++ b/ramppulley/settings_fields.py
@@ -43,7 +43,8 @@
 
 
 def truncated_repr(value: Any) -> str:
-    """
+    """The start of a value's `repr`, for an error message.
+
     >>> truncated_repr("a" * 99)
     "'aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
     """
