--- a/ramppulley/daemon/platform/command.py
+++ b/ramppulley/daemon/platform/command.py
@@ -67,7 +67,7 @@
     if not started:
         log.info("told to end before it had started")
         return
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # blocked since the start of the process
     _exclude_startup_objects_from_gc()
     await stopping.wait()
     await node.stop()
@@ -94,7 +94,10 @@
 
 
 def _exclude_startup_objects_from_gc() -> None:
-    """Excludes objects made during startup from garbage collection: they live until exit, and the garbage is small."""
+    """Excludes objects made during startup from garbage collection: they live until exit.
+
+    The little garbage among them stays too.
+    """
     gc.freeze()
     gc.enable()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/ramppulley/daemon/platform/node.py
+++ b/ramppulley/daemon/platform/node.py
@@ -193,7 +193,7 @@
             self.watch.restart()
 
     def _configure(self, profile: Profile) -> None:
-        """Applies settings to new requests in one loop iteration; requests in flight keep theirs."""
+        """Applies settings to new requests, within one event loop iteration; requests in flight keep theirs."""
         self.profile = profile
         self.engines.configure(profile)
         self.front.configure(profile, self._max_requests())
--- a/ramppulley/engines/attempts.py
+++ b/ramppulley/engines/attempts.py
@@ -83,7 +83,7 @@
 class BaseConnector:
     """Connections to all workers, by endpoint. `budget` bounds the connections open to all of them together."""
 
-    max_body_bytes = 1 << 20  # of a response, buffered in the parser
+    max_body_bytes = 1 << 20  # of a response, received and not yet taken from the parser
 
     def __init__(
         self,
@@ -237,7 +237,7 @@
         if task.cancelled():
             return AttemptResult(outcome_of(attempt.stage, Failure.CANCELLED), "withdrawn")
         error = task.exception()
-        if error is not None:  # a bug in the router: its progress is unknown, so the request may have run
+        if error is not None:  # a bug in the router: the attempt's progress is unknown, so it may have run
             self.log.error("connector fault", question=attempt.tracked.request.name, error=repr(error))
             return AttemptResult(door.FAULT, f"a fault in the router: {error!r}")
         return task.result()
@@ -260,8 +260,8 @@
             AttemptFacts(
                 client_gone=attempt.tracked.sink.gone(),
                 answered=attempt.tracked.final_answer is not None or attempt.cancelled,
-                worker_changed=self._listed_state(attempt.endpoint)
-                != attempt.listed_state,  # draining, gone, restarted or moved
+                # Draining, gone, restarted or moved.
+                worker_changed=self._listed_state(attempt.endpoint) != attempt.listed_state,
                 window_over=core.repeat_window_over(attempt),
                 remaining=core.remaining_timeout(attempt),
             )
--- a/ramppulley/engines/connections.py
+++ b/ramppulley/engines/connections.py
@@ -85,7 +85,7 @@
         budget: ConnectionBudget | None = None,
     ) -> None:
         self.host, self.port, self.idle_timeout_s = host, port, idle_timeout_s
-        self.budget = budget or ConnectionBudget(max_connections + 1)
+        self.budget = budget or ConnectionBudget(max_connections + 1)  # one more for the reserved connection
         self.idle: deque[IdleConnection] = deque()  # longest idle first
         self.opened = 0  # total over the life of the pool
         self.reserved: Transport | None = None  # kept open so that control calls need no handshake
--- a/ramppulley/engines/platform/connector.py
+++ b/ramppulley/engines/platform/connector.py
@@ -72,8 +72,8 @@
     def release(self, tracked: TrackedRequest, endpoint: door.Endpoint | None, state: Any) -> None:
         """Releases all KV state of a request, at whichever worker it is.
 
-        A worker does not free state that an attempt waits for, so a decode that was given up must first see its connection
-        close: the release is delayed.
+        A worker does not free state that an attempt waits for. After a decode was given up, its worker must first see the
+        connection close, so the release is delayed.
         """
         last_result = tracked.attempts[-1].result if tracked.attempts else None
         given_up = last_result is not None and last_result[1].outcome not in door.ANSWERED
--- a/ramppulley/engines/platform/releases.py
+++ b/ramppulley/engines/platform/releases.py
@@ -3,9 +3,9 @@
 A release is a `DELETE` that any worker accepts and that frees state no attempt waits for. The worker that responded most
 recently is called first, so that the death of the worker holding the state cannot block the release.
 
-To its worker, an attempt that was given up waits for its state until the worker sees its connection close. That can be late:
-the worker is busy or hangs, or the close is lost on the network. A release confirmed before that freed nothing, so
-releases after such an attempt are repeated until its worker must have seen the close.
+A worker regards an attempt that was given up as waiting for its state until it sees the attempt's connection close. That
+can be late: the worker is busy or hangs, or the close is lost on the network. A release confirmed before that freed
+nothing, so releases after such an attempt are repeated until its worker must have seen the close.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from ramppulley.service.neutral import EngineAttempt, TrackedRequest
 from ramppulley.service.permission import ReleaseFacts
 
-MAX_CALLS, MAX_CONCURRENT_CALLS = 8, 4  # per release, each to a different worker
+MAX_CALLS, MAX_CONCURRENT_CALLS = 8, 4  # per release; a worker is called again only once all others have been
 CAPACITY_TIMEOUT_S = 5.0  # how long a release waits for a connection; the reserved ones are soon free
 DELAY_S = 0.02  # from closing an attempt's connection to the release of leftover state; also between calls
 RECENT_RESPONSE_S = 1.0  # a worker that responded within this is called first
@@ -156,8 +156,9 @@
     def start(self, tracked: TrackedRequest) -> None:
         """Starts a pending release if it may be sent now.
 
-        Only a prefill that was written delays it, as the release could free the state that it has just left. A decode keeps
-        the state it waits for; but until it gets a response it may not have arrived, so the release time limit still runs.
+        Only a prefill that was written delays it, as the release could free the state that it has just left. An open decode
+        does not: its worker keeps the state that it waits for. But until it gets a response it may not have reached its
+        worker, so the release time limit still runs.
         """
         prefill_written = any(
             attempt.is_prefill and attempt.stage not in (Stage.QUEUE, Stage.CONNECT)
@@ -185,7 +186,7 @@
             self._confirm(tracked)
 
     async def before_first_byte(self, attempt: EngineAttempt) -> None:
-        """Waits for a running release: sent later, it would also free the KV state that the new attempt leaves."""
+        """Starts a pending release and waits for the running one, as it would also free KV state that this attempt leaves."""
         self.start(attempt.tracked)
         while attempt.tracked in self.running:
             await asyncio.wait({self.running[attempt.tracked]})
--- a/ramppulley/engines/platform/stream.py
+++ b/ramppulley/engines/platform/stream.py
@@ -48,7 +48,10 @@
         self.stream_timeout.forwarding = False
 
     async def finish(self, read_report: Callable[[bytes], door.LoadReport | None]) -> AttemptResult:
-        """Forwards the rest and returns the result of a complete stream; `read_report` parses a load report."""
+        """Forwards the rest and returns the result of a complete stream; `read_report` parses a load report.
+
+        Raises BadMessage for a stream without an event, or one that ends within an event.
+        """
         rest = self.splitter.last()
         if self.attempt.first_token_at is None:
             raise BadMessage("a stream without an event")
--- a/ramppulley/engines/stream_timeout.py
+++ b/ramppulley/engines/stream_timeout.py
@@ -22,7 +22,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def restart(self) -> None:
-        """Restarts the idle time: the worker has sent something."""
+        """Restarts the idle time, as the worker has sent something. The idle timeout replaces the attempt's deadline."""
         self.deadline = self.loop.time() + self.idle_s
         if self.timer is not None:
             return
--- a/ramppulley/fleet/platform/endpoint_list.py
+++ b/ramppulley/fleet/platform/endpoint_list.py
@@ -12,7 +12,7 @@
 from ramppulley.wire.faults import BadMessage
 
 SAME_START_TOLERANCE_MS = 100  # reported start times closer than this are the same start
-TENTHS_PER_MS = 10  # ticks of the router's clock
+TENTHS_PER_MS = 10  # the router's clock counts tenths of a millisecond
 TENTHS_PER_S = 10_000
 GONE_RETENTION = 30 * TENTHS_PER_S  # a worker that returns within this time is treated as the same one
 
--- a/ramppulley/fleet/platform/list_call.py
+++ b/ramppulley/fleet/platform/list_call.py
@@ -65,7 +65,7 @@
         self._fault: Exception | None = None  # error that ended the call, raised in its own task
         self._deadline: ReadDeadline | None = None
         self._silence_s = 0.0
-        self._reading = False
+        self._reading = False  # whether `read_now` is running: `on_line` may lead to another call of it
 
     async def follow(self, timeouts: CallTimeouts, on_request_sent: Callable[[], None]) -> None:
         """Sends the request and reads until the response ends; raises OSError, TimeoutError or BadMessage otherwise."""
@@ -85,7 +85,7 @@
             raise TimeoutError("no complete line before the timeout")
 
     def _request(self) -> bytes:
-        """Asks with from=0 for the whole list at once. Another version may belong to another history (discovery moved or
+        """Asks with from=0 for the whole list at once. Any other version may belong to another history (discovery moved or
         restarted), in which nothing follows it although the list differs."""
         host, port = self.address
         return http.request("GET", f"{platform.LIST}?watch=1&from=0", {"host": f"{host}:{port}"})
@@ -132,7 +132,7 @@
         self._ended = self._ended or self.parser.done
 
     def _parse(self, data: bytes) -> bool:
-        """Delivers the lines that these bytes complete, also those before an error; whether there was any line."""
+        """Delivers the lines that these bytes complete, also those before an error; returns whether there was one."""
         fault, got_line = None, False
         try:
             self.parser.feed(data)
--- a/ramppulley/fleet/platform/watch.py
+++ b/ramppulley/fleet/platform/watch.py
@@ -41,7 +41,7 @@
 TIMEOUTS = WatchTimeouts()
 
 
-MAX_PENDING_CALLS = 2  # calls that have delivered nothing yet
+MAX_PENDING_CALLS = 2  # kept beside the newest call: calls that have delivered nothing yet
 
 
 class DiscoveryWatch:
--- a/ramppulley/fronts/platform/server.py
+++ b/ramppulley/fronts/platform/server.py
@@ -36,7 +36,7 @@
     Refusal.ROUTER_STOPS: 503,
     Refusal.ROUTER_FULL: 503,
 }
-EVENTS = {"content-type": "text/event-stream", "cache-control": "no-cache"}
+EVENT_STREAM_HEADERS = {"content-type": "text/event-stream", "cache-control": "no-cache"}
 
 
 class EventStream(ResponseStream):
@@ -51,7 +51,7 @@
     def head(self) -> bytes:
         """The head of a 200 response with an event stream."""
         self.connection.answer_begun = True
-        return http.response_head(200, EVENTS, self.keep_alive())
+        return http.response_head(200, EVENT_STREAM_HEADERS, self.keep_alive())
 
 
 class PlatformFront:
@@ -122,7 +122,10 @@
         return False
 
     def _may_be_evicted(self, connection: ClientConnection) -> bool:
-        """Whether a connection may be closed. One with unread bytes may have sent a request, which is served first."""
+        """Whether a connection may be closed.
+
+        One with unread bytes may have sent a request, which is served before it is evicted by a burst of new connections.
+        """
         unread = connection.transport.has_unread_bytes()
         return connection.transport in self.lingering_connections or permission.may_close_idle(unread) is None
 
@@ -268,9 +271,8 @@
         self, connection: ClientConnection, stream: EventStream, final_answer: FinalAnswer, keep_alive: bool
     ) -> bool:
         """Sends the rest of the response; returns whether the connection stays open."""
-        if (
-            final_answer.result == CLIENT_LEFT
-        ):  # noticed just now, or by the check before an attempt, which reads nothing
+        if final_answer.result == CLIENT_LEFT:
+            # Noticed just now, or by the check before an attempt, which reads nothing.
             await self._refuse_early_bytes(connection)
             return False
         if stream.sending:
--- a/ramppulley/wire/http.py
+++ b/ramppulley/wire/http.py
@@ -96,7 +96,7 @@
     """
 
     def __init__(self, max_body_bytes: int) -> None:
-        self.max_body_bytes, self.begun = max_body_bytes, False
+        self.max_body_bytes, self.begun = max_body_bytes, False  # `begun`: an incomplete request has been fed
         self.ready: deque[Request] = deque()
         self.wants_continue = False
         self._parser = httptools.HttpRequestParser(self)
@@ -278,7 +278,8 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """
+    """One chunk; b"" for no data, as a chunk of length 0 would end the body.
+
     >>> chunk(b"hello")
     b'5\\r\\nhello\\r\\n'
     """
--- a/ramppulley/wire/platform.py
+++ b/ramppulley/wire/platform.py
@@ -43,7 +43,8 @@
 
 
 def number(text: str, what: str) -> int:
-    """
+    """The value of decimal digits; raises BadMessage, which names `what`.
+
     >>> number("4800", "x")
     4800
     """
@@ -83,6 +84,7 @@
     for part in text.split(","):
         key, _, value = part.strip().partition("=")
         if key == "prefix":
+            # Nothing but zeros and dashes means no prefix.
             fields["prefix"] = "" if value.strip("0-") == "" else value[:MAX_TEXT_CHARS]
         elif key in EXTRA_FIELDS:
             fields[EXTRA_FIELDS[key]] = number(value, f"{EXTRA}: {key}")
@@ -134,7 +136,8 @@
 
 
 def lease_path(name: str) -> str:
-    """
+    """The path at which a worker releases the KV state of the request with this id.
+
     >>> lease_path("9b1f")
     '/kv/leases/9b1f'
     """
