--- a/ramppulley/engines/platform/releases.py
+++ b/ramppulley/engines/platform/releases.py
@@ -186,7 +186,7 @@
             self._confirm(tracked)
 
     async def before_first_byte(self, attempt: EngineAttempt) -> None:
-        """Starts a pending release and waits for the running one, as it would also free KV state that this attempt leaves."""
+        """Starts a pending release and waits for the running one: later, it would also free KV state of this attempt."""
         self.start(attempt.tracked)
         while attempt.tracked in self.running:
             await asyncio.wait({self.running[attempt.tracked]})
