--- a/ramppulley/standin/bodies.py
+++ b/ramppulley/standin/bodies.py
@@ -1,4 +1,4 @@
-"""The JSON bodies of a stand-in engine's answers, by the OpenAI API and the rerank API. Pure."""
+"""The JSON bodies of a stand-in engine's responses, by the OpenAI API and the rerank API. Pure."""
 
 import base64
 import struct
@@ -9,16 +9,16 @@
 
 
 def text_of(document):
-    """A rerank document's text, given as such or as an object."""
+    """The text of a rerank document, which is a string or an object."""
     return document if isinstance(document, str) else str(document.get("text", ""))
 
 
 def embedding_inputs(body):
-    """(inputs, tokens of each) of an embeddings request; token lists count themselves."""
+    """(inputs, tokens of each) of an embeddings request; an input that is a list of tokens counts as its length."""
     given = body.get("input", "")
     single = isinstance(given, str) or (given and isinstance(given[0], int))
     inputs = [given] if single else given
-    return inputs, [len(x) if isinstance(x, list) and x else texts.tokens_of(str(x)) for x in inputs]
+    return inputs, [len(item) if isinstance(item, list) and item else texts.tokens_of(str(item)) for item in inputs]
 
 
 def rerank_inputs(body):
@@ -33,17 +33,17 @@
 
 def generation_usage(job, completion_tokens):
     return {
-        "prompt_tokens": job.prompt,
+        "prompt_tokens": job.prompt_tokens,
         "completion_tokens": completion_tokens,
-        "total_tokens": job.prompt + completion_tokens,
-        "prompt_tokens_details": {"cached_tokens": job.kept},
+        "total_tokens": job.prompt_tokens + completion_tokens,
+        "prompt_tokens_details": {"cached_tokens": job.cached_tokens},
     }
 
 
 def embeddings(body, inputs, tokens):
-    """The whole answer to an embeddings request."""
+    """The whole response to an embeddings request."""
     size = body.get("dimensions") or texts.DIMENSIONS
-    vectors = [texts.vector_of(str(given), size) for given in inputs]
+    vectors = [texts.vector_of(str(text), size) for text in inputs]
     if body.get("encoding_format") == "base64":
         vectors = [base64.b64encode(struct.pack(f"<{size}f", *vector)).decode() for vector in vectors]
     return {
@@ -55,7 +55,7 @@
 
 
 def rerank(name, body, inputs, tokens):
-    """The whole answer to a rerank request: the best documents first."""
+    """The whole response to a rerank request, the best documents first."""
     query = body.get("query", "")
     scored = sorted(((texts.score_of(query, text), -i, text) for i, text in enumerate(inputs)), reverse=True)
     results = []
@@ -68,7 +68,7 @@
 
 
 def prefill(job, body, engine, port, key):
-    """The answer of a prefill engine: where its KV state waits to be fetched."""
+    """The response of a prefill engine: where its KV state can be fetched."""
     return {
         "id": job.name,
         "object": "chat.completion",
@@ -87,7 +87,7 @@
 
 
 class Completion:
-    """The answer of a decode engine, token by token or whole; `chat` or the older completions."""
+    """The response of a decode engine, as a stream or whole, for chat completions or the older completions API."""
 
     def __init__(self, job, body, path, created):
         self.job, self.body, self.chat, self.words = job, body, path.endswith(CHAT_PATH), []
@@ -99,10 +99,10 @@
         }
 
     def next_chunk(self):
-        """One more token's event."""
+        """The event of one more token."""
         word, first = f"w{len(self.words)} ", not self.words
         self.words.append(word)
-        choice = {"index": 0, "finish_reason": "stop" if len(self.words) >= self.job.out else None}
+        choice = {"index": 0, "finish_reason": "stop" if len(self.words) >= self.job.output_tokens else None}
         if self.chat:
             choice["delta"] = {"role": "assistant", "content": word} if first else {"content": word}
         else:
@@ -110,13 +110,13 @@
         return self.base | {"choices": [choice]}
 
     def usage_chunk(self):
-        """The event that tells the usage, where the client asked for it; else None."""
+        """The usage event if the client asked for it, else None."""
         if not (self.body.get("stream_options") or {}).get("include_usage"):
             return None
         return self.base | {"choices": [], "usage": generation_usage(self.job, len(self.words))}
 
     def whole(self):
-        """The answer in one piece."""
+        """The response in one piece."""
         text = "".join(self.words)
         content = {"message": {"role": "assistant", "content": text}} if self.chat else {"text": text}
         choice = {"index": 0, "finish_reason": "stop"} | content
--- a/ramppulley/standin/demo.py
+++ b/ramppulley/standin/demo.py
@@ -1,4 +1,4 @@
-"""The fleet and the orders of `./rp up`: two cells of readers and writers, and two machines for embeddings and rerank."""
+"""The fleet and settings of `./rp up`: two groups of prefill and decode workers, and two machines for embeddings and rerank."""
 
 from ramppulley.daemon.orders import Orders
 from ramppulley.standin.fleet import StandinFleet
@@ -7,12 +7,12 @@
 
 
 def machines(cells=2, readers=2, writers=2, pooled=2, zones=("north", "south")):
-    found = []
+    entries = []
     for cell in range(cells):
         place = {"cell": f"rack{cell}", "zone": zones[cell % len(zones)], "pool": "chat", "model": CHAT}
-        found += [{"name": f"reader-{cell}-{n}", "role": "read", **place} for n in range(readers)]
-        found += [{"name": f"writer-{cell}-{n}", "role": "write", **place} for n in range(writers)]
-    found += [
+        entries += [{"name": f"reader-{cell}-{n}", "role": "read", **place} for n in range(readers)]
+        entries += [{"name": f"writer-{cell}-{n}", "role": "write", **place} for n in range(writers)]
+    entries += [
         {
             "name": f"pool-{n}",
             "role": "pool",
@@ -24,7 +24,7 @@
         }
         for n in range(pooled)
     ]
-    return found
+    return entries
 
 
 def demo_fleet(list_path):
@@ -32,7 +32,7 @@
 
 
 def demo_orders(port=0, **more):
-    """Orders for the demo fleet; `more` replaces whole parts."""
+    """Settings for the demo fleet; `more` replaces whole sections."""
     return Orders.model_validate(
         {
             "zone": "north",
--- a/ramppulley/standin/fleet.py
+++ b/ramppulley/standin/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of stand-ins on loopback, and the file that lists them, late where a script says so."""
+"""A fleet of stand-ins on loopback, and the file that lists them, which a scenario may delay."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from ramppulley.standin.model import Engine, Kind, Yard
+from ramppulley.standin.model import Engine, KvStates, MachineKind
 from ramppulley.standin.server.standin import Standin
 
 
@@ -14,15 +14,15 @@
     """Builds engines from `machines`: dicts with name, pool, role, cell, zone, kind and model."""
 
     def __init__(self, machines, list_path, extensions=("release", "hold")):
-        self.yard, self.ledger, self.held, self.listed_at = Yard(), [], [], []
+        self.kv_states, self.ledger, self.held, self.listed_at = KvStates(), [], [], []
         self.list_path, self.lag, self.machines = list_path, 0.0, {m["name"]: m for m in machines}
-        self.states, self.started, self.standins, self._late, self.births = {}, {}, {}, set(), []
-        self.writer = ThreadPoolExecutor(1)  # one list after the other
+        self.states, self.started_at, self.standins, self._delayed_writes, self.births = {}, {}, {}, set(), []
+        self.file_writer = ThreadPoolExecutor(1)  # one thread, so that lists are written in order
         for machine in machines:
             engine = Engine(
                 machine["name"],
-                Kind(role=machine["role"], **machine.get("kind", {})),
-                self.yard,
+                MachineKind(role=machine["role"], **machine.get("kind", {})),
+                self.kv_states,
                 cell=machine.get("cell", ""),
                 zone=machine.get("zone", ""),
             )
@@ -36,17 +36,18 @@
         return self
 
     async def stop(self):
-        for task in self._late:
+        for task in self._delayed_writes:
             task.cancel()
-        self.writer.shutdown()
+        self.file_writer.shutdown()
         await asyncio.gather(*(s.stop() for s in self.standins.values()))
 
     def open_held(self):
-        """States and places that wait now."""
+        """The KV states and reservations that are held now."""
         return [held for standin in self.standins.values() for held in standin.holds.open.values()]
 
     def entries(self):
-        found = []
+        """The list's entries, as the configured workers file has them."""
+        entries = []
         for name, machine in self.machines.items():
             if self.states[name] == "gone":
                 continue
@@ -60,38 +61,40 @@
                 "memory_tokens": self.standins[name].engine.kind.memory,
                 "state": self.states[name],
             }
-            if name in self.started:
-                entry["started"] = self.started[name]
-            found.append(entry)
-        return found
+            if name in self.started_at:
+                entry["started"] = self.started_at[name]
+            entries.append(entry)
+        return entries
 
     def write(self):
-        """Lists the fleet as it is now: at once, or `lag` seconds late, as a lagging list service does."""
+        """Writes the list of the fleet as it is now: at once, or `lag` seconds late, as a lagging discovery service does."""
         text = json.dumps({"workers": self.entries()}, indent=1)
         if self.lag <= 0:
-            return self._put(text)
+            return self._write_now(text)
         loop = asyncio.get_running_loop()
 
-        async def late():
+        async def write_later():
             await asyncio.sleep(self.lag)
-            await loop.run_in_executor(self.writer, self._replace, text)  # a disk that is busy takes tenths of a second
-            self._listed(text)
+            await loop.run_in_executor(
+                self.file_writer, self._replace, text
+            )  # not on the loop: a busy disk takes tenths of a second
+            self._record_listing(text)
 
-        task = loop.create_task(late())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = loop.create_task(write_later())
+        self._delayed_writes.add(task)
+        task.add_done_callback(self._delayed_writes.discard)
 
-    def _put(self, text):
+    def _write_now(self, text):
         self._replace(text)
-        self._listed(text)
+        self._record_listing(text)
 
     def _replace(self, text):
         temporary = f"{self.list_path}.new"
         with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
-        os.replace(temporary, self.list_path)  # a reader sees the old list or the new one, never a part
+        os.replace(temporary, self.list_path)  # atomic: a router reads the old list or the new one, never a part
 
-    def _listed(self, text):
+    def _record_listing(self, text):
         now = int(time.monotonic() * 10_000)
         self.listed_at.append((now, {e["name"]: e["state"] for e in json.loads(text)["workers"]}))
 
@@ -103,9 +106,9 @@
             self.write()
 
     async def restart(self, name):
-        """Comes back cold."""
+        """Starts a crashed engine again, which then warms up."""
         await self.standins[name].restart()
-        self.started[name], self.states[name] = time.time(), "ready"
+        self.started_at[name], self.states[name] = time.time(), "ready"
         self.births.append((name, self.standins[name].engine.born))
         self.write()
 
--- a/ramppulley/standin/server/admission.py
+++ b/ramppulley/standin/server/admission.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ramppulley.standin.ledger import Entry
-from ramppulley.standin.model import Engine, Job, Told
+from ramppulley.standin.model import Engine, EngineEvent, Job
 from ramppulley.standin.server.clock import monotonic_now
 from ramppulley.standin.server.faults import EngineFaults
 from ramppulley.standin.server.pump import EnginePump
@@ -13,7 +13,7 @@
 
 
 class Admission:
-    """Notes each request that arrived, offers its job to the engine, and notes how it ended."""
+    """Records each request that arrived, offers its job to the engine, and records how it ended."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
             opened=int(transport.opened_at or now),
             receipt=request.headers.get("idempotency-key", ""),
             weight=self._engine.work(job),
-            prompt=job.prompt,
-            kept=min(job.prompt, self._engine.keeps(job.blocks)),
+            prompt=job.prompt_tokens,
+            kept=min(job.prompt_tokens, self._engine.count_cached_tokens(job.blocks)),
         )
         self.ledger.append(entry)
         return entry
 
-    async def take(self, transport: Transport, entry: Entry, job: Job) -> asyncio.Queue[Told] | None:
-        """Offers the job; the queue of its events, or None when it was rejected and answered."""
+    async def take(self, transport: Transport, entry: Entry, job: Job) -> asyncio.Queue[EngineEvent] | None:
+        """Offers the job to the engine: the queue of its events, or None when it was rejected and answered."""
         try:
             await self._faults.wait_for_end_of_silence()
         except asyncio.CancelledError:
@@ -69,9 +69,9 @@
             transport.reset()
 
     def finish(self, entry: Entry, job: Job) -> None:
-        """The request has ended, answered or not; the engine drops what is left of its job."""
+        """The request has ended, answered or not; the engine drops the rest of its job."""
         self._pump.unsubscribe(job)
-        self._engine.withdraw(job)
-        entry.ran |= job.began is not None
+        self._engine.cancel(job)
+        entry.ran |= job.began_at is not None
         entry.ended = monotonic_now()
         entry.how = entry.how or "withdrawn"
--- a/ramppulley/standin/server/faults.py
+++ b/ramppulley/standin/server/faults.py
@@ -9,18 +9,18 @@
 
 @dataclass
 class EngineFaults:
-    """What is wrong with a stand-in now; by default nothing. Times: tenths of a millisecond, unless named otherwise."""
+    """The active faults of a stand-in; by default none. Times: tenths of a millisecond, unless named otherwise."""
 
     silent_until: int = 0  # answers nothing until then; 0 = not silent
     rejected_fields: Mapping[str, object] | None = None  # rejects requests whose body has one of these values
     accept_delay_s: float = 0.0  # before it reads from a new connection
     cut_share: float = 0.0  # of the responses or tokens: the connection closes within it
     corrupt_share: float = 0.0  # of the responses or tokens: it cannot be decoded
-    report_delay: int = 0  # its load reports are so old
-    draws: int = 0  # so many times a share was asked for
+    report_delay: int = 0  # the age of its load reports
+    draws: int = 0  # how often a share was evaluated
 
     def end_silence(self, now: int) -> None:
-        """Ends a silence whose time has come."""
+        """Ends a silence that has expired."""
         if self.silent_until and now >= self.silent_until:
             self.silent_until = 0
 
@@ -44,7 +44,7 @@
         return self._happens(self.corrupt_share)
 
     def _happens(self, share: float) -> bool:
-        """Each n-th time, not a random draw: the same script meets the same answers."""
+        """True each n-th time, not by a random draw: the same scenario gets the same responses."""
         if share <= 0:
             return False
         self.draws += 1
--- a/ramppulley/standin/server/generation.py
+++ b/ramppulley/standin/server/generation.py
@@ -8,7 +8,7 @@
 
 PATHS = ("/v1/chat/completions", "/v1/completions")
 DEFAULT_MAX_TOKENS = 256
-UNKNOWN_STATE = "?"
+UNKNOWN_STATE_KEY = "?"
 
 
 def generation_job(request_id, body):
@@ -16,17 +16,17 @@
     text = texts.prompt_text(body)
     params = body.get("kv_transfer_params") or {}
     prefill_only = bool(params.get("do_remote_decode"))
-    state = None
+    state_key = None
     if params.get("do_remote_prefill"):
-        state = (params.get("remote_block_ids") or [UNKNOWN_STATE])[0]
+        state_key = (params.get("remote_block_ids") or [UNKNOWN_STATE_KEY])[0]
     max_tokens = body.get("max_completion_tokens") or body.get("max_tokens") or DEFAULT_MAX_TOKENS
     return Job(
         name=request_id,
-        prompt=texts.tokens_of(text),
-        out=1 if prefill_only else texts.length_of(text, max_tokens),
+        prompt_tokens=texts.tokens_of(text),
+        output_tokens=1 if prefill_only else texts.length_of(text, max_tokens),
         blocks=texts.blocks_of(text),
-        reads_only=prefill_only,
-        state=state,
+        prefill_only=prefill_only,
+        state_key=state_key,
     )
 
 
@@ -44,17 +44,17 @@
     async def handle(self, transport, request, request_id, body):
         """Answers one request; whether the connection stays open."""
         job = generation_job(request_id, body)
-        entry = self._admission.enter(transport, "read" if job.reads_only else "write", request, job)
-        if self._engine.kind.role == "write" and not job.state:
+        entry = self._admission.enter(transport, "read" if job.prefill_only else "write", request, job)
+        if self._engine.kind.role == "write" and not job.state_key:
             entry.ended, entry.how = monotonic_now(), "no_state"
             return await self._responses.state_gone(transport, "a writer cannot read")
-        if not job.reads_only:
+        if not job.prefill_only:
             self._note_idempotency_key(request, entry)
         queue = await self._admission.take(transport, entry, job)
         if queue is None:
             return not transport.closed
         try:
-            if job.reads_only:
+            if job.prefill_only:
                 return await self.prefill(transport, entry, job, queue, body)
             return await self.decode(transport, entry, job, queue, body, request.path)
         finally:
@@ -67,10 +67,10 @@
             self._idempotency_keys.add(key)
 
     async def prefill(self, transport, entry, job, queue, body):
-        """Answers with the place of the KV state, which is released if the answer cannot be sent."""
+        """Answers with the location of the KV state, which is released if the answer cannot be sent."""
         while (event := await queue.get()).what != "read":
             entry.ran |= event.what == "began"
-        key = self._holds.leave_state(job)
+        key = self._holds.hold_state(job)
         answer = bodies.prefill(job, body, self._engine.name, self._port(), key)
         try:
             await self._responses.prefill(transport, answer)
@@ -83,7 +83,7 @@
     async def decode(self, transport, entry, job, queue, body, path):
         """Answers with the tokens, one by one or whole."""
         completion = bodies.Completion(job, body, path, monotonic_now() // S)
-        streams = body.get("stream")
+        is_stream = body.get("stream")
         while True:
             event = await queue.get()
             entry.ran |= event.what == "began"
@@ -92,10 +92,10 @@
                 return await self._responses.state_gone(transport)
             if event.what == "token":
                 chunk = completion.next_chunk()
-                if streams and not await self._send_token(transport, entry, completion, chunk):
+                if is_stream and not await self._send_token(transport, entry, completion, chunk):
                     return False
             if event.what == "done":
-                await self._send_end(transport, completion, streams)
+                await self._send_end(transport, completion, is_stream)
                 entry.how = "answered"
                 return True
 
@@ -105,8 +105,8 @@
             await self._responses.stream_head(transport)
         return await self._responses.stream_event(transport, entry, chunk)
 
-    async def _send_end(self, transport, completion, streams):
-        if streams:
+    async def _send_end(self, transport, completion, is_stream):
+        if is_stream:
             await self._responses.stream_end(transport, completion.usage_chunk())
         else:
             await self._responses.whole(transport, completion.whole())
--- a/ramppulley/standin/server/holds.py
+++ b/ramppulley/standin/server/holds.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds for requests: KV states that wait to be fetched, and places reserved ahead."""
+"""What a stand-in engine holds for requests: KV states that wait to be fetched, and capacity reserved ahead."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from ramppulley.standin.model import Engine, Job, S
 from ramppulley.standin.server.clock import monotonic_now
 
-MAX_STATE_AGE = 30 * S  # a state that nobody fetches or releases ends by itself
+MAX_STATE_AGE = 30 * S  # a hold that is neither used nor released expires
 
 
 class Holds:
@@ -16,19 +16,19 @@
         self._engine = engine
         self.log = log
         self.open: dict[str, Held] = {}
-        engine.taken = lambda key, at: self.close(key, "taken", at)
+        engine.on_taken = lambda key, at: self.close(key, "taken", at)
 
-    def reserve_place(self, key: str, prompt_tokens: int) -> bool:
-        """Reserves a place ahead of a request; whether there was capacity."""
+    def reserve_capacity(self, key: str, prompt_tokens: int) -> bool:
+        """Reserves capacity ahead of a request; whether there was any."""
         now = monotonic_now()
-        held = self._engine.hold(key, prompt_tokens, now)
-        if held:
+        reserved = self._engine.reserve(key, prompt_tokens, now)
+        if reserved:
             self._open(key, Held(self._engine.name, key, "place", now))
-        return held
+        return reserved
 
-    def leave_state(self, job: Job) -> str:
-        """The key of a job's KV state, which waits from now on to be fetched."""
-        key: str = self._engine.yard.leave(self._engine, job, monotonic_now())
+    def hold_state(self, job: Job) -> str:
+        """Holds a job's KV state until it is fetched or released; returns its key."""
+        key: str = self._engine.kv_states.hold(self._engine, job, monotonic_now())
         self._open(key, Held(self._engine.name, job.name, "state", monotonic_now()))
         return key
 
@@ -37,7 +37,7 @@
         self.log.append(held)
 
     def close(self, key: str, how: str, at: int | None = None) -> None:
-        """Notes the end of a hold; a release counts from when it was first asked for."""
+        """Records the end of a hold; a release counts from when it was first asked for."""
         held = self.open.pop(key, None)
         if held is None:
             return
@@ -45,24 +45,24 @@
         held.how = how
 
     def close_all_died(self) -> None:
-        """The engine has ended, and all that it held with it."""
+        """Ends all holds, as the engine has ended."""
         now = monotonic_now()
         for held in self.open.values():
             held.until, held.how = now, "died"
         self.open.clear()
 
     def expire(self, now: int) -> None:
-        """Ends what was held for too long."""
+        """Ends the holds that are too old."""
         for key, held in list(self.open.items()):
             if now - held.since > MAX_STATE_AGE:
                 self.close(key, "expired")
                 if held.what == "state":
-                    self._engine.yard.release(key)
+                    self._engine.kv_states.release(key)
                 else:
-                    self._engine.drop_place(key)
+                    self._engine.drop_reservation(key)
 
     def note_release_request(self, raw_body: bytes, arrived: int) -> None:
-        """A silent engine was told in time, though it acts later, or never if the caller hung up meanwhile."""
+        """Records when a release was first asked for: a silent engine acts on it later, or never if the caller hung up meanwhile."""
         try:
             body = msgspec.json.decode(raw_body)
             key = (body.get("remote_block_ids") or [str(body.get("request_id"))])[0]
@@ -74,20 +74,20 @@
 
     def release_state(self, key: str, arrived: int) -> None:
         """Releases one state, if it is still there."""
-        if key in self._engine.yard.states:
+        if key in self._engine.kv_states.states:
             self.close(key, "let go", arrived)
-            self._engine.yard.release(key)
+            self._engine.kv_states.release(key)
 
     def abandon_state(self, key: str) -> None:
         """Releases a state whose key could not be delivered."""
         self.close(key, "let go")
-        self._engine.yard.release(key)
+        self._engine.kv_states.release(key)
 
     def release_request(self, request_id: str, arrived: int) -> None:
-        """Releases a request's place and all its states."""
-        self._engine.drop_place(request_id)
+        """Releases a request's reservation and all its states."""
+        self._engine.drop_reservation(request_id)
         self.close(request_id, "let go", arrived)
         states = [key for key, held in self.open.items() if held.what == "state" and held.request == request_id]
         for key in states:
             self.close(key, "let go", arrived)
-            self._engine.yard.release(key)
+            self._engine.kv_states.release(key)
--- a/ramppulley/standin/server/kv_endpoints.py
+++ b/ramppulley/standin/server/kv_endpoints.py
@@ -1,4 +1,4 @@
-"""The protocol extensions of an engine for KV state: reserving a place ahead, and releasing what is held."""
+"""The protocol extensions of an engine for KV state: reserving capacity ahead, and releasing what is held."""
 
 from ramppulley.standin.server.holds import Holds
 from ramppulley.standin.server.pump import EnginePump
@@ -15,11 +15,11 @@
         self._responses = responses
 
     async def hold(self, transport: Transport, body: JsonObject) -> bool:
-        """Reserves a place for a request, which may ask again; 409 if there is no capacity at once."""
+        """Reserves capacity for a request, which may ask again; 409 if none is free at once."""
         request_id = str(body.get("request_id"))
         held = request_id in self._holds.open
         if not held:
-            held = self._holds.reserve_place(request_id, int(body.get("prompt_tokens") or 0))
+            held = self._holds.reserve_capacity(request_id, int(body.get("prompt_tokens") or 0))
         return await self._responses.empty(transport, 200 if held else 409)
 
     async def release(self, transport: Transport, body: JsonObject, arrived: int) -> bool:
--- a/ramppulley/standin/server/load_reports.py
+++ b/ramppulley/standin/server/load_reports.py
@@ -10,7 +10,7 @@
 
 
 class LoadReports:
-    """What the engine says of its load: as it is, or as it was a while ago where a fault delays it."""
+    """The engine's load as it reports it: current, or of a while ago if a fault delays it."""
 
     def __init__(self, engine: Engine, faults: EngineFaults, extensions: Sequence[str]) -> None:
         self._engine = engine
@@ -19,7 +19,7 @@
         self._history: list[tuple[int, Figures]] = []  # times and figures, oldest first
 
     def clear(self) -> None:
-        """Forgets the reports of the past."""
+        """Drops the past reports."""
         self._history.clear()
 
     def figures(self) -> Figures:
--- a/ramppulley/standin/server/pooling.py
+++ b/ramppulley/standin/server/pooling.py
@@ -20,7 +20,7 @@
         embeds = request.path == EMBEDDINGS_PATH
         inputs, token_counts = bodies.embedding_inputs(body) if embeds else bodies.rerank_inputs(body)
         tokens = sum(token_counts)
-        job = Job(request_id, tokens, reads_only=False, out=1)
+        job = Job(request_id, tokens, prefill_only=False, output_tokens=1)
         entry = self._admission.enter(transport, "pool", request, job)
         queue = await self._admission.take(transport, entry, job)
         if queue is None:
--- a/ramppulley/standin/server/pump.py
+++ b/ramppulley/standin/server/pump.py
@@ -2,23 +2,23 @@
 
 import asyncio
 
-from ramppulley.standin.model import Engine, Job, S, Told
+from ramppulley.standin.model import Engine, EngineEvent, Job, S
 from ramppulley.standin.server.clock import monotonic_now
 from ramppulley.standin.server.faults import EngineFaults
 from ramppulley.standin.server.holds import Holds
 
-MAX_WAIT_S = 0.25  # between two looks at the model
+MAX_WAIT_S = 0.25  # between two calls of the model
 
 
 class EnginePump:
-    """One task that advances the model whenever a step is due. `wake` is set when something new came in."""
+    """One task that advances the model whenever a step is due. `wake` is set when a request arrived."""
 
     def __init__(self, engine: Engine, faults: EngineFaults, holds: Holds) -> None:
         self._engine = engine
         self._faults = faults
         self._holds = holds
         self._task: asyncio.Task[None] | None = None
-        self._queues: dict[Job | None, asyncio.Queue[Told]] = {}  # of events, by job
+        self._queues: dict[Job | None, asyncio.Queue[EngineEvent]] = {}  # of events, by job
         self.wake = asyncio.Event()
 
     def start(self) -> None:
@@ -32,9 +32,9 @@
             await asyncio.gather(self._task, return_exceptions=True)
             self._task = None
 
-    def subscribe(self, job: Job) -> asyncio.Queue[Told]:
+    def subscribe(self, job: Job) -> asyncio.Queue[EngineEvent]:
         """The queue of a job's events, from now on."""
-        queue: asyncio.Queue[Told] = asyncio.Queue()
+        queue: asyncio.Queue[EngineEvent] = asyncio.Queue()
         self._queues[job] = queue
         self.wake.set()
         return queue
@@ -62,7 +62,7 @@
             if queue is not None:
                 queue.put_nowait(event)
             elif event.what == "read" and event.job is not None:  # nobody waits for its KV state any more
-                self._engine.held -= event.job.prompt
+                self._engine.held_tokens -= event.job.prompt_tokens
 
     async def _wait(self, now: int) -> None:
         """Until the next step is due, at most for a while."""
--- a/ramppulley/standin/server/standin.py
+++ b/ramppulley/standin/server/standin.py
@@ -78,7 +78,7 @@
         self.listener = Listener(self._serve, port=port).start()
 
     async def stop(self):
-        """Also a crash: every connection is reset, every state is gone."""
+        """Stops the server, also as a crash: all connections are reset and all KV state is lost."""
         await self.pump.stop()
         if self.listener:
             self.last_port = self.listener.port
@@ -94,7 +94,7 @@
         await self.start(self.last_port)
 
     async def cut_off(self):
-        """No route to it: connections are reset, new ones refused; its engine runs on."""
+        """Makes the engine unreachable: connections are reset, new ones refused; the engine runs on."""
         self.last_port = self.listener.port
         self.unreachable.append(UnreachableSpan(self.now()))
         await self.listener.stop()
@@ -154,7 +154,9 @@
         arrived = self.now()
         if request.path == RELEASE_PATH:
             self.holds.note_release_request(request.body, arrived)
-        if not request.path.startswith(API_PREFIX):  # those of the API enter the ledger first: they arrived
+        if not request.path.startswith(
+            API_PREFIX
+        ):  # API requests wait after their entry in the ledger, as they did arrive
             await self.faults.wait_for_end_of_silence()
         if request.path in METRICS_PATHS:
             return await self.responses.metrics(transport)
--- a/ramppulley/standin/texts.py
+++ b/ramppulley/standin/texts.py
@@ -1,4 +1,4 @@
-"""What a stand-in makes of texts: tokens, blocks, answers, vectors and scores; all by their content alone. Pure."""
+"""Token counts, blocks, response lengths, vectors and scores of texts, each determined by the text alone. Pure."""
 
 import math
 from collections import Counter
@@ -6,9 +6,9 @@
 
 import xxhash
 
-from ramppulley.standin.model import BLOCK
+from ramppulley.standin.model import BLOCK_TOKENS
 
-BYTES_A_TOKEN = 3.6  # the stand-ins' own; a router has to learn it
+BYTES_A_TOKEN = 3.6  # of the stand-ins; a router has to estimate it
 DIMENSIONS = 64
 
 
@@ -31,40 +31,40 @@
 
 
 def blocks_of(text):
-    """Chained hashes of whole blocks: equal up to where two texts begin alike.
+    """The chained hashes of a text's whole blocks: two texts share those of their common prefix.
 
     >>> a, b = blocks_of("x" * 400 + "one" * 99), blocks_of("x" * 400 + "two" * 99)
     >>> a[:3] == b[:3], a[-1] == b[-1]
     (True, False)
     """
-    size, data, chain, found = int(BLOCK * BYTES_A_TOKEN), text.encode(), 0, []
+    size, data, chain, hashes = int(BLOCK_TOKENS * BYTES_A_TOKEN), text.encode(), 0, []
     for start in range(0, len(data) - size + 1, size):
         chain = xxhash.xxh3_64_intdigest(data[start : start + size], seed=chain)
-        found.append(chain)
-    return tuple(found)
+        hashes.append(chain)
+    return tuple(hashes)
 
 
-def length_of(text, most):
-    """How long its answer is: fixed by the text, log-uniform from 8 to 256 tokens, `most` at the most."""
+def length_of(text, max_tokens):
+    """The length of a text's response: determined by the text, log-uniform from 8 to 256 tokens, at most `max_tokens`."""
     draw = xxhash.xxh3_64_intdigest(text.encode()) / 2**64
-    return max(1, min(most, int(8 * 32**draw)))
+    return max(1, min(max_tokens, int(8 * 32**draw)))
 
 
 @lru_cache(4096)
-def _word(word, dimensions):
-    seed, found = xxhash.xxh3_64_intdigest(word.encode()), []
+def _word_vector(word, dimensions):
+    seed, components = xxhash.xxh3_64_intdigest(word.encode()), []
     for _ in range(dimensions):
         seed = (seed * 6364136223846793005 + 1442695040888963407) % 2**64
-        found.append(seed / 2**63 - 1)
-    return found
+        components.append(seed / 2**63 - 1)
+    return components
 
 
 def vector_of(text, dimensions=DIMENSIONS):
-    """A unit vector that depends on the text alone; texts that share words lie closer."""
+    """A unit vector that is determined by the text; texts that share words are closer."""
     sums = [0.0] * dimensions
-    for word, times in Counter(text.lower().split() or [""]).items():
-        for i, part in enumerate(_word(word, dimensions)):
-            sums[i] += times * part
+    for word, count in Counter(text.lower().split() or [""]).items():
+        for i, component in enumerate(_word_vector(word, dimensions)):
+            sums[i] += count * component
     norm = math.sqrt(sum(x * x for x in sums)) or 1.0
     return [x / norm for x in sums]
 
