--- a/ramppulley/standin/__init__.py
+++ b/ramppulley/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for engines: a pure model, and servers and faults around it. Nothing here measures a real machine."""
+"""Stand-ins for engines: a pure model, with servers and faults around it. Their speeds are of no real machine."""
 
 from pathlib import Path
 
--- a/ramppulley/standin/demo.py
+++ b/ramppulley/standin/demo.py
@@ -1,4 +1,4 @@
-"""The fleet and settings of `./rp up`: two groups of prefill and decode workers, and two machines for embeddings and rerank."""
+"""The fleet and settings of `./rp up`: two groups of prefill and decode workers, two workers for embeddings and rerank."""
 
 from ramppulley.daemon.orders import Orders
 from ramppulley.standin.fleet import StandinFleet
--- a/ramppulley/standin/disk.py
+++ b/ramppulley/standin/disk.py
@@ -1,4 +1,4 @@
-"""A disk that lies, under whatever a router keeps. Put in by the rig's own entry point; no setting names it."""
+"""A disk with injected faults, for what a router stores. Installed by the entry point of the tests; no setting does."""
 
 import errno
 import os
@@ -8,91 +8,91 @@
 from ramppulley.store.disk import Disk
 
 
-def before(path):
-    """Where the contents before the last are kept."""
+def previous_path_of(path):
+    """The file with the contents that the last replacement replaced."""
     return Path(f"{path}.before")
 
 
 class LyingDisk(Disk):
-    """`fault` is one of FAULTS, or "" for a good disk. `chance` is the rig's."""
+    """`fault` is one of FAULTS, or "" for a sound disk. `rng` is seeded by the scenario."""
 
     FAULTS = ("flush_fails", "flush_lies", "torn", "lost", "elsewhere", "flipped", "old", "full", "unreadable", "slow")
 
-    def __init__(self, chance, fault="", slow=5.0):
-        self.chance, self.fault, self.unflushed, self.slow = chance, fault, {}, slow
-        self.good = {}  # path -> bytes that an honest flush made durable
+    def __init__(self, rng, fault="", delay_s=5.0):
+        self.rng, self.fault, self.unflushed, self.delay_s = rng, fault, {}, delay_s
+        self.durable_sizes = {}  # path -> bytes that a real flush made durable
 
     def read(self, path, most):
         if self.fault == "unreadable":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         raw = super().read(path, most)
         if raw and self.fault == "flipped":
-            at = self.chance.randrange(len(raw))
-            raw = raw[:at] + bytes([raw[at] ^ 1 << self.chance.randrange(8)]) + raw[at + 1 :]
-        if self.fault == "old":  # yesterday's contents
-            old = super().read(before(path), most)
-            return raw if old is None else old
+            position = self.rng.randrange(len(raw))
+            raw = raw[:position] + bytes([raw[position] ^ 1 << self.rng.randrange(8)]) + raw[position + 1 :]
+        if self.fault == "old":  # the contents before the last replacement
+            previous = super().read(previous_path_of(path), most)
+            return raw if previous is None else previous
         return raw
 
     def replace(self, path, raw):
         path = Path(path)
         if self.fault == "slow":
-            time.sleep(self.slow)
+            time.sleep(self.delay_s)
         if self.fault == "elsewhere":
             path = path.with_name(path.name + ".elsewhere")
-        was = super().read(path, 1 << 20)
+        replaced = super().read(path, 1 << 20)
         if self.fault == "full":
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if self.fault == "flush_fails":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         if self.fault == "lost":
-            return  # said to be written; nothing is
-        if self.fault == "flush_lies":  # there as long as the process lives
-            self.unflushed[path] = was
-        if was is not None:
-            before(path).write_bytes(was)
-        super().replace(path, raw[: self.chance.randrange(1, len(raw))] if self.fault == "torn" else raw)
+            return  # reports success without writing
+        if self.fault == "flush_lies":  # visible until `power_cut`
+            self.unflushed[path] = replaced
+        if replaced is not None:
+            previous_path_of(path).write_bytes(replaced)
+        super().replace(path, raw[: self.rng.randrange(1, len(raw))] if self.fault == "torn" else raw)
 
-    # Of a log's files
+    # For the files of a log
     def whole(self, path):
         if self.fault == "unreadable":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         raw = super().whole(path)
         if raw and self.fault == "flipped":
-            at = self.chance.randrange(len(raw))
-            raw = raw[:at] + bytes([raw[at] ^ 1 << self.chance.randrange(8)]) + raw[at + 1 :]
+            position = self.rng.randrange(len(raw))
+            raw = raw[:position] + bytes([raw[position] ^ 1 << self.rng.randrange(8)]) + raw[position + 1 :]
         return raw[: len(raw) // 2] if self.fault == "old" else raw
 
     def begin(self, path):
         file = super().begin(path)
-        self.good[Path(path)] = 0
+        self.durable_sizes[Path(path)] = 0
         return file
 
     def write(self, file, raw):
         if self.fault == "slow":
-            time.sleep(self.slow)
+            time.sleep(self.delay_s)
         if self.fault == "full":
-            super().write(file, raw[: self.chance.randrange(len(raw))])
+            super().write(file, raw[: self.rng.randrange(len(raw))])
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if self.fault == "lost":
             return
         if self.fault == "elsewhere":
             Path(f"{file.name}.elsewhere").write_bytes(raw)
             return
-        super().write(file, raw[: self.chance.randrange(len(raw))] if self.fault == "torn" else raw)
+        super().write(file, raw[: self.rng.randrange(len(raw))] if self.fault == "torn" else raw)
 
     def flush(self, file):
         path = Path(file.name)
-        if self.fault == "flush_fails":  # as a kernel does: what it could not write is dropped, the next is good
-            os.truncate(path, self.good.get(path, 0))
+        if self.fault == "flush_fails":  # as a kernel does: drops what it could not write, and the next flush succeeds
+            os.truncate(path, self.durable_sizes.get(path, 0))
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         if self.fault != "flush_lies":
             super().flush(file)
-            self.good[path] = os.path.getsize(path)
+            self.durable_sizes[path] = os.path.getsize(path)
 
     def power_cut(self):
-        """What flushes lied about is gone."""
-        for path, size in self.good.items():
+        """Undoes all writes that no flush really made durable."""
+        for path, size in self.durable_sizes.items():
             if path.exists():
                 os.truncate(path, size)
         for path, raw in self.unflushed.items():
--- a/ramppulley/standin/entry.py
+++ b/ramppulley/standin/entry.py
@@ -1,7 +1,7 @@
-"""The rig's own way to start a router: `python -m ramppulley.standin.entry SETTINGS RELAY SEED [DISK-FAULT [MUTANT]]`.
+"""Starts a router for tests with faults: `python -m ramppulley.standin.entry SETTINGS RELAY SEED [DISK-FAULT [MUTANT]]`.
 
-The program is the same; its datagrams pass the relay, its clock steps and its disk lies as told on standard input:
-one line of JSON each, {"clock": SECONDS}, {"disk": FAULT} or {"lie": TIMES}: so many times what it saw is told to others.
+It is the same program, but its datagrams pass the relay, and standard input steps its clock, sets a disk fault or scales
+the load that it reports to peers, by one JSON object per line: {"clock": SECONDS}, {"disk": FAULT} or {"lie": FACTOR}.
 """
 
 import asyncio
@@ -24,43 +24,45 @@
 
 
 class SteppedClock(LoopClock):
-    """The program's one clock, with an offset that the rig moves; as a monotonic clock must, it never goes back."""
+    """The program's clock with an offset that a test changes. Like any monotonic clock it never goes back."""
 
     def __init__(self, loop):
         super().__init__(loop)
-        self.offset, self.last = 0, 0
+        self.offset, self.last_now = 0, 0
 
     def now(self):
-        self.last = max(self.last, super().now() + self.offset)
-        return self.last
+        self.last_now = max(self.last_now, super().now() + self.offset)
+        return self.last_now
 
 
-async def main(settings, relay, seed, fault="", mutant=""):
+async def main(settings_path, relay, seed, fault="", mutant=""):
     if mutant:
         MUTANTS[mutant]()
-    orders, loop, disk = settings_of(settings), asyncio.get_running_loop(), LyingDisk(Random(f"disk {seed}"), fault)
+    settings = settings_of(settings_path)
+    loop = asyncio.get_running_loop()
+    disk = LyingDisk(Random(f"disk {seed}"), fault)
     daemon = Daemon(
-        orders,
-        logs(orders.log),
-        settings.parent,
+        settings,
+        logs(settings.log),
+        settings_path.parent,
         clock=SteppedClock,
         disk=disk,
         socket=lambda host, port: Tunnel(host, port, relay),
     )
 
-    def told():
+    def on_command():
         line = sys.stdin.readline()
         if not line:
             loop.remove_reader(sys.stdin)
-            os.kill(os.getpid(), signal.SIGTERM)  # the rig is gone: so are we
+            os.kill(os.getpid(), signal.SIGTERM)  # the test process has ended
             return
-        order = json.loads(line)
-        daemon.clock.offset += int(order.get("clock", 0) * TENTHS)
-        disk.fault = order.get("disk", disk.fault)
-        if "lie" in order:
-            lie(order["lie"])
+        command = json.loads(line)
+        daemon.clock.offset += int(command.get("clock", 0) * TENTHS)
+        disk.fault = command.get("disk", disk.fault)
+        if "lie" in command:
+            lie(command["lie"])
 
-    loop.add_reader(sys.stdin, told)
+    loop.add_reader(sys.stdin, on_command)
     await run(daemon)
 
 
--- a/ramppulley/standin/fleet.py
+++ b/ramppulley/standin/fleet.py
@@ -46,8 +46,8 @@
         return [held for standin in self.standins.values() for held in standin.holds.open.values()]
 
     def entries(self):
-        """The list's entries, as the configured workers file has them."""
-        entries = []
+        """The entries of the list, in the format of the workers file."""
+        listing = []
         for name, machine in self.machines.items():
             if self.states[name] == "gone":
                 continue
@@ -63,8 +63,8 @@
             }
             if name in self.started_at:
                 entry["started"] = self.started_at[name]
-            entries.append(entry)
-        return entries
+            listing.append(entry)
+        return listing
 
     def write(self):
         """Writes the list of the fleet as it is now: at once, or `lag` seconds late, as a lagging discovery service does."""
--- a/ramppulley/standin/links.py
+++ b/ramppulley/standin/links.py
@@ -1,6 +1,7 @@
-"""The links between routers, with their faults: a pure account of what becomes of each datagram, and a relay that does it.
+"""The links between routers and their faults: pure decisions on each datagram, and a relay that carries them out.
 
-One vocabulary for the rig and the simulation. Times: tenths of a millisecond. One seed, one fate for the same datagrams.
+The tests with processes and the simulation share them. The same datagrams and seed give the same decisions.
+Times: tenths of a millisecond.
 """
 
 import struct
@@ -12,90 +13,89 @@
 from ramppulley.cluster.seal import TAG, head_of
 from ramppulley.peers.datagrams import bound
 
-HEAD = struct.Struct(
-    ">H"
-)  # before each datagram: to the relay the port that it is for, from it the one that it is from
-QUEUE = 1 << 20  # bytes that a link of some bandwidth keeps; what comes on top is lost
+# Before each datagram: its target port on the way to the relay, its source port on the way from it.
+PORT_HEADER = struct.Struct(">H")
+MAX_QUEUE_BYTES = 1 << 20  # the queue of a link with a bandwidth limit; it drops datagrams beyond that
 
 
 @dataclass(frozen=True)
 class Link:
-    """One way from one router to another. Parts are of all its datagrams."""
+    """One direction from one router to another. Shares are of all its datagrams."""
 
-    drop: float = 0.0
+    drop: float = 0.0  # share
     delay: int = 0
     jitter: int = 0
-    double: float = 0.0
-    reorder: float = 0.0  # part that is held back by `late`
+    double: float = 0.0  # share
+    reorder: float = 0.0  # share that is delayed by `late`
     late: int = 500
     cut: bool = False
-    stalled: bool = False  # kept until it goes on, then all at once
-    per_second: int = 0  # bytes; 0 = no bound
+    stalled: bool = False  # datagrams are held until the stall ends, then delivered at once
+    per_second: int = 0  # bytes; 0 = unlimited
 
 
 class Links:
-    """Fates by (from, to); `chance` is the storm's."""
+    """The links by (source, target). `rng` is seeded by the scenario."""
 
-    def __init__(self, chance):
-        self.chance, self.links, self.free, self.held = chance, {}, {}, {}
+    def __init__(self, rng):
+        self.rng, self.links, self.free_at, self.held = rng, {}, {}, {}
         self.bytes, self.count, self.lost = {}, {}, {}
 
     def of(self, pair):
         return self.links.get(pair, Link())
 
     def change(self, pair, **more):
-        """Returns what a stall kept, if the link goes on with this: to be delivered now."""
+        """Changes a link. Returns the datagrams that a stall held if that ends it: they are to be delivered now."""
         self.links[pair] = replace(self.of(pair), **more)
         return [] if self.links[pair].stalled else self.held.pop(pair, [])
 
     def fate(self, pair, now, data):
-        """[after which time it arrives], empty where it is lost or kept."""
+        """The delay of each copy of a datagram that arrives; none if it is lost or held."""
         link, source = self.of(pair), pair[0]
         self.bytes[source] = self.bytes.get(source, 0) + len(data)
         self.count[source] = self.count.get(source, 0) + 1
-        if link.cut or self.chance.random() < link.drop:
+        if link.cut or self.rng.random() < link.drop:
             self.lost[pair] = self.lost.get(pair, 0) + 1
             return []
         if link.stalled:
             self.held.setdefault(pair, []).append(data)
             return []
-        wait = link.delay + int(link.jitter * self.chance.random())
+        delay = link.delay + int(link.jitter * self.rng.random())
         if link.per_second:
-            free = max(now, self.free.get(pair, 0))
-            if (free - now) * link.per_second > QUEUE * 10_000:
+            free_at = max(now, self.free_at.get(pair, 0))
+            if (free_at - now) * link.per_second > MAX_QUEUE_BYTES * 10_000:
                 return []
-            self.free[pair] = free + len(data) * 10_000 // link.per_second
-            wait += self.free[pair] - now
-        wait += link.late * (self.chance.random() < link.reorder)
-        return [wait] * (1 + (self.chance.random() < link.double))
+            self.free_at[pair] = free_at + len(data) * 10_000 // link.per_second
+            delay += self.free_at[pair] - now
+        delay += link.late * (self.rng.random() < link.reorder)
+        return [delay] * (1 + (self.rng.random() < link.double))
 
 
-class _Word(msgspec.Struct, array_like=True):
-    """The beginning of what members say."""
+class _MessagePrefix(msgspec.Struct, array_like=True):
+    """The first fields of a membership message."""
 
     version: int
     kind: str
 
 
-_words = msgspec.msgpack.Decoder(_Word)
+_message_prefixes = msgspec.msgpack.Decoder(_MessagePrefix)
 
 
-def word_of(data):
-    """What kind of word a datagram of members brings, "" if that cannot be read."""
+def message_kind_of(data):
+    """The kind of the membership message in a datagram, "" if it cannot be decoded."""
     try:
-        return _words.decode(data[4 + data[3] : -TAG]).kind
+        return _message_prefixes.decode(data[4 + data[3] : -TAG]).kind
     except msgspec.MsgspecError:
         return ""
 
 
 class Relay:
-    """Carries all datagrams between routers, by their ports. `names` maps a port to its router's name."""
+    """Forwards all datagrams between routers. `names` maps a port to its router's name."""
 
     def __init__(self, links, clock):
         self.links, self.clock, self.names, self.loop = links, clock, {}, None
-        self.lives = set()  # (name, life, incarnation) of all that crossed
-        self.pinged = {}  # (who, whom) -> when last: who looks at another holds it for living
-        self.crossed = deque(maxlen=512)  # the last ones whole, to be played again
+        self.lives = set()  # (router, life, incarnation) of all datagrams
+        self.pinged = {}  # (source, target) -> time of the last probe: routers probe those that they consider alive
+        self.crossed = deque(maxlen=512)  # the last datagrams, to be replayed
         self.sock = bound("127.0.0.1", 0)
         self.port = self.sock.getsockname()[1]
 
@@ -110,35 +110,35 @@
                 raw, (_, source) = self.sock.recvfrom(65_536)
             except OSError:
                 return
-            port, data = HEAD.unpack_from(raw)[0], raw[HEAD.size :]
+            port, data = PORT_HEADER.unpack_from(raw)[0], raw[PORT_HEADER.size :]
             pair = self.names.get(source, str(source)), self.names.get(port, str(port))
             self.crossed.append(data)
             if (head := head_of(data)) is not None:
                 self.lives.add((pair[0], head.life, head.incarnation))
-                if head.kind == "members" and word_of(data) == "ping":
+                if head.kind == "members" and message_kind_of(data) == "ping":
                     self.pinged[pair] = self.clock()
-            for wait in self.links.fate(pair, self.clock(), data):
-                self._later(wait, source, port, data)
+            for delay in self.links.fate(pair, self.clock(), data):
+                self._deliver_after(delay, source, port, data)
 
-    def _later(self, wait, source, port, data):
-        if wait <= 0:
-            self._put(source, port, data)
+    def _deliver_after(self, delay, source, port, data):
+        if delay <= 0:
+            self._deliver(source, port, data)
         else:
-            self.loop.call_later(wait / 10_000, self._put, source, port, data)
+            self.loop.call_later(delay / 10_000, self._deliver, source, port, data)
 
-    def _put(self, source, port, data):
+    def _deliver(self, source, port, data):
         if self.loop is None:
             return
         try:
-            self.sock.sendto(HEAD.pack(source) + data, ("127.0.0.1", port))
+            self.sock.sendto(PORT_HEADER.pack(source) + data, ("127.0.0.1", port))
         except OSError:
-            pass  # nobody there, or no room: a datagram may be lost
+            pass  # no listener, or a full buffer: datagrams may be lost
 
     def change(self, pair, **more):
         ports = {name: port for port, name in self.names.items()}
         for data in self.links.change(pair, **more):
             if pair[0] in ports and pair[1] in ports:
-                self._put(ports[pair[0]], ports[pair[1]], data)
+                self._deliver(ports[pair[0]], ports[pair[1]], data)
 
     def stop(self):
         if self.loop is not None:
@@ -148,19 +148,19 @@
 
 
 class Tunnel:
-    """A router's socket whose datagrams all pass the relay; to the router it looks as if they came straight."""
+    """A router's socket that sends and receives through the relay, with the addresses of a direct exchange."""
 
     def __init__(self, host, port, relay):
         self.sock, self.relay = bound(host, port), ("127.0.0.1", relay)
         self.getsockname, self.fileno, self.close = self.sock.getsockname, self.sock.fileno, self.sock.close
 
     def sendto(self, data, address):
-        return self.sock.sendto(HEAD.pack(address[1]) + data, self.relay)
+        return self.sock.sendto(PORT_HEADER.pack(address[1]) + data, self.relay)
 
-    def recvfrom(self, most):
-        raw, source = self.sock.recvfrom(most + HEAD.size)
-        if source == self.relay and len(raw) >= HEAD.size:
-            return raw[HEAD.size :], (source[0], HEAD.unpack_from(raw)[0])
+    def recvfrom(self, max_bytes):
+        raw, source = self.sock.recvfrom(max_bytes + PORT_HEADER.size)
+        if source == self.relay and len(raw) >= PORT_HEADER.size:
+            return raw[PORT_HEADER.size :], (source[0], PORT_HEADER.unpack_from(raw)[0])
         return raw, source
 
 
--- a/ramppulley/standin/model.py
+++ b/ramppulley/standin/model.py
@@ -120,7 +120,7 @@
 
 
 class Engine:
-    """One engine. `offer` accepts or rejects a job; `advance` runs the steps up to a time; `next_at` tells when to call it."""
+    """One engine. `offer` accepts or rejects a job, `advance` runs the steps up to a time, `next_at` when to call it."""
 
     def __init__(self, name, kind, kv_states, *, cell="", zone="", born=None):
         self.name, self.kind, self.kv_states, self.cell, self.zone = name, kind, kv_states, cell, zone
@@ -170,7 +170,7 @@
 
     # Requests
     def offer(self, job: Job, now: int) -> str:
-        """Accepts a job ("taken"), or says why not: "full", "no_state", "down", or "fell" if the job crashed a warming engine."""
+        """Accepts a job ("taken") or says why not: "full", "no_state", "down", or "fell" if it crashed a warming engine."""
         if self.down:
             return "down"
         if job.state_key and (
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -1,4 +1,4 @@
-"""Routers broken on purpose, each in one place: what the rig's checkers must catch. Put in by the rig's own entry point."""
+"""Mutants of the router, each with one planted fault that the rule checkers must catch. Installed by `entry.py`."""
 
 from ramppulley import rules
 from ramppulley.cluster import members, membership_view, seal, signals, snapshot, subsets, turns, view_sync
@@ -7,119 +7,119 @@
 
 
 def caged():
-    """Never looks beyond its subset."""
+    """Never uses a worker outside its subset."""
     rules.PolicyRequest.roster = property(lambda request: request.router.usual)
 
 
 def unguarded():
-    """All routers use the same half of the list, and never look beyond it: nobody minds who is left out."""
+    """All routers use the same half of the list and nothing else: no router covers the workers that are left out."""
     subsets.View.subset = lambda view, peer: {
-        place.mark for cell in sorted(view.cells)[::2] for place in view.cells[cell]
+        worker.mark for cell in sorted(view.cells)[::2] for worker in view.cells[cell]
     }
     caged()
 
 
 def forgetful():
-    """Begins its incarnations anew at each start, and asks nobody."""
+    """Restarts its incarnations from 0 at each start, without asking its peers."""
     snapshot.read, cluster.SILENCE_MAX = lambda raw, name, router: snapshot.Kept(name, router, 0), 0
 
 
 def meek():
-    """Never denies that it is dead."""
+    """Never refutes that it is dead."""
     members.Members._hear_of_self = lambda self, news: None
 
 
 def trusting():
-    """Believes datagrams whatever their tag and number."""
+    """Accepts datagrams without checking their tag and sequence number."""
     seal.compare_digest = lambda a, b: True
     seal.Sender.fresh = lambda self, number: True
 
 
 def rash():
-    """Holds for dead at once whom it suspects."""
+    """Declares a suspect dead at once."""
     membership_view.MembershipView.suspicion_timeout = lambda self, accusers: 1
 
 
 def blind():
-    """Keeps the subset that it had first, whoever comes or goes."""
-    found = subset_selection.SubsetSelection._compute_subsets
+    """Keeps its first subset whatever routers join or leave."""
+    compute_subsets = subset_selection.SubsetSelection._compute_subsets
 
-    def once(self, *given):
-        if not hasattr(self, "once_found") and given[0] is not None and len(given[1]) > 1:
-            self.once_found = found(self, *given)
-        return getattr(self, "once_found", None) or found(self, *given)
+    def compute_once(self, *args):
+        if not hasattr(self, "first_subsets") and args[0] is not None and len(args[1]) > 1:
+            self.first_subsets = compute_subsets(self, *args)
+        return getattr(self, "first_subsets", None) or compute_subsets(self, *args)
 
-    subset_selection.SubsetSelection._compute_subsets = once
+    subset_selection.SubsetSelection._compute_subsets = compute_once
 
 
 def grudging():
-    """Greets nobody whom it once held for dead."""
+    """Never contacts members again that it once declared dead."""
     view_sync.ViewSync.exchange = view_sync.ViewSync.greet_present
 
 
 def jealous():
-    """Of two that have one name it hears only the one that came last."""
-    numbered = seal.Seal._numbered
+    """Of two members with the same name it accepts only the one that it heard of last."""
+    check_sequence = seal.Seal._numbered
 
-    def last(self, head):
+    def only_last(self, head):
         lives = self.senders.get(head.sender, ())
         if any(one.life == head.life for one in lives[:-1]):
             raise seal.Unfit("replayed")
-        numbered(self, head)
+        check_sequence(self, head)
 
-    seal.Seal._numbered = last
+    seal.Seal._numbered = only_last
 
 
 def level():
-    """Tells nobody that it has more to do than others."""
+    """Does not report its share of the traffic to its peers."""
     members.Members.told_traffic = lambda self, traffic: None
 
 
 def patient():
-    """Waits two minutes for more of a stream that stands still."""
+    """Waits two minutes on a stalled stream."""
     openai.StreamTimeout = lambda timeout, transport, _: stream_timeout.StreamTimeout(timeout, transport, 120.0)
 
 
 _row_of = signals.row_of
 
 
-def lie(times):
-    """From now on this router tells others so many times what it saw of workers and has out there."""
+def lie(factor):
+    """From now on this router multiplies the load that it reports to its peers by a factor."""
 
-    def row_of(*given):
-        row = _row_of(*given)
+    def scaled_row_of(*args):
+        row = _row_of(*args)
         return signals.Row(
             row.mark,
-            min(10**9, int(times * row.unread)),
-            min(10**9, int(times * row.memory)),
-            max(signals.NOTHING, min(100, int(times * row.ill))),
+            min(10**9, int(factor * row.unread)),
+            min(10**9, int(factor * row.memory)),
+            max(signals.NOTHING, min(100, int(factor * row.ill))),
         )
 
-    signals.row_of = _row_of if times == 1 else row_of
+    signals.row_of = _row_of if factor == 1 else scaled_row_of
 
 
 def trustful():
-    """Holds nobody's claims against its own reports."""
+    """Does not compare peer reports with its own load reports."""
     signals.Signals.saw = lambda self, now, mark, waiting, ours: None
 
 
 def ageless():
-    """Takes all news for new, however long they were under way, and never lets them fade."""
+    """Treats all peer reports as current, however long they were on the way, and never ages them."""
     signals.Ways.took = lambda self, at, now: 0
 
 
 def gullible():
-    """Believes all that it hears of a worker's load, without bound."""
+    """Uses the load that peers report without a bound."""
     rules.blended = lambda own, told, part, most: told
 
 
 def careless():
-    """Knows of no cold worker's budget."""
+    """Ignores the budget of workers that are warming up."""
     rules.Worker.cold = lambda self: False
 
 
 def turnless():
-    """Minds no turns."""
+    """Probes at any time, not only in its turn."""
     turns.Turns.may = lambda self, now, thing: True
 
 
--- a/ramppulley/standin/platform.py
+++ b/ramppulley/standin/platform.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the platform around one router: its workers and its list, by their published protocol. For stories.
+"""Stand-ins for the platform around one router in tests: workers and discovery, with their published protocol.
 
-Workers share one yard of read states, as a `DELETE` reaches each of them whoever holds it. `scripts` play one answer in
-place of the usual one: bytes, or a coroutine that is given the transport.
+The workers share one set of KV states, as a `DELETE` may reach another worker than the holder. Each of `scripts` replaces
+one response: bytes, or a coroutine that gets the transport.
 """
 
 import asyncio
@@ -28,20 +28,20 @@
 
 
 class KvYard(set):
-    """Names of requests whose KV state some prefill worker holds; a release frees what no decode waits for."""
+    """Ids of the requests whose KV state a prefill worker holds. A release frees a state unless a decode waits for it."""
 
     def __init__(self):
         super().__init__()
-        self.awaited = Counter()  # decodes that arrived, by name
+        self.awaited = Counter()  # decodes that wait, by request id
 
     def release(self, name):
-        """A `DELETE` came, to whichever worker."""
+        """A worker received a `DELETE`, whichever it is."""
         if not self.awaited[name]:
             self.discard(name)
 
     @contextmanager
     def waiting(self, name):
-        """A decode that arrived waits for this state, until its worker knows that it was given up."""
+        """A decode waits for this state, until its worker notices that the request was cancelled."""
         self.awaited[name] += 1
         try:
             yield
@@ -50,33 +50,33 @@
 
 
 class PlatformWorker:
-    """One reader or writer. `log`: (method, path, id, body) of each request as it came."""
+    """One prefill or decode worker. `log`: (method, path, id, body) of each request, in the order of arrival."""
 
     def __init__(self, name, role, yard, token_s=0.0):
         self.name, self.role, self.yard, self.token_s = name, role, yard, token_s
-        self.takes = 0.0  # seconds before it begins a POST or a DELETE
+        self.takes = 0.0  # seconds before it handles a POST or a DELETE
         self.scripts, self.log, self.limits, self.connections = deque(), [], [], 0
-        self.headers = []  # of each POST, in the order of its log
-        self.reachable, self.filling = True, []
+        self.headers = []  # of each POST, in the order of `log`
+        self.reachable, self.backlog_fillers = True, []
 
     def start(self, port=0):
         self.listener = Listener(self._serve, port=port).start()
         return self
 
     async def stop(self):
-        for sock in self.filling:
+        for sock in self.backlog_fillers:
             sock.close()
         await self.listener.stop()
 
     def cut_off(self):
-        """From now on its open connections stay open and silent, and new ones never come up."""
+        """From now on open connections stay open and silent, and new ones are never established."""
         self.reachable = False
         self.listener._accepting.cancel()
-        self.listener.sock.listen(0)  # one connection that nobody accepts fills it: the system answers no other
+        self.listener.sock.listen(0)  # a backlog of one: when it is full, the kernel answers no further SYN
         for _ in range(3):
-            self.filling.append(socket.socket())
-            self.filling[-1].setblocking(False)
-            self.filling[-1].connect_ex(self.listener.sock.getsockname())
+            self.backlog_fillers.append(socket.socket())
+            self.backlog_fillers[-1].setblocking(False)
+            self.backlog_fillers[-1].connect_ex(self.listener.sock.getsockname())
 
     def of(self, method):
         return [entry for entry in self.log if entry[0] == method]
@@ -107,7 +107,7 @@
             if scripted:
                 script = self.scripts.popleft()
                 if isinstance(script, bytes):
-                    if self.role == "write" and HEAD in script:  # an answer begins once the state has been fetched
+                    if self.role == "write" and HEAD in script:  # a response begins when the state has been fetched
                         self.yard.discard(name)
                     await transport.send(script)
                 else:
@@ -140,9 +140,9 @@
 
 
 class PlatformList:
-    """Discovery: the whole list, and a watch for each that asks.
+    """Discovery: sends the whole list and then a watch to each caller.
 
-    While it has a `fault`, that plays each answer in its place, and open watches fall silent for good.
+    While `fault` is set, it handles each call instead, and open watches stay silent for good.
     """
 
     def __init__(self, beat=0.5):
@@ -157,7 +157,7 @@
         await self.listener.stop()
 
     def tell(self, *entries):
-        """Changed entries, to all watches."""
+        """Sends changed entries to all watches."""
         self.seq += 1
         for entry in entries:
             self.hosts[entry["host"]] = entry
@@ -167,6 +167,7 @@
             queue.put_nowait(change)
 
     def whole(self):
+        """The whole list as a message."""
         return {"seq": self.seq, "whole": True, "hosts": [h for h in self.hosts.values() if h["health"] != "Gone"]}
 
     async def _serve(self, transport):
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -1,6 +1,6 @@
-"""The platform's router with one planted fault: `python -m ramppulley.standin.platform_mutants NAME`.
+"""The router on the platform with one planted fault: `python -m ramppulley.standin.platform_mutants NAME`.
 
-Each shows that an invariant of the soak can see what it is for. The program itself knows nothing of them.
+Each shows that an invariant of the soak test detects the fault that it is for. The program itself has no code for them.
 """
 
 import asyncio
@@ -13,20 +13,20 @@
 
 
 def replace(owner: object, name: str, planted: object) -> None:
-    """Plants `planted` as the attribute `name`, which the owner has."""
+    """Replaces the attribute `name`, which has to exist, by `planted`."""
     getattr(owner, name)
     setattr(owner, name, planted)
 
 
 def wall_clock() -> None:
-    """Ages of workers by the wall clock alone."""
+    """Computes the ages of workers from the wall clock alone."""
     from ramppulley.service.clock import StartAges
 
     replace(StartAges, "age_ms", lambda self, started, now, wall_ms: max(0, wall_ms - started))
 
 
 def accept_dies() -> None:
-    """One failed accept ends the accepting for good."""
+    """Stops accepting connections after one failed accept."""
     from ramppulley.wire import sockets
 
     async def accept(self: Any, readable: Any) -> None:
@@ -38,7 +38,7 @@
 
 
 def ignores_leaving() -> None:
-    """A client's close is seen by nobody before its answer."""
+    """Does not notice that a client closes before its response."""
     from ramppulley.fronts.client_connection import ClientConnection
     from ramppulley.fronts.response_stream import ResponseStream
 
@@ -51,48 +51,48 @@
 
 
 def ignores_drain() -> None:
-    """A worker that is told to end stays in use."""
+    """Goes on using a worker that drains."""
     from ramppulley.wire import platform
 
     platform.STATES[platform.DRAINING] = "ready"
 
 
 def endless_watch() -> None:
-    """A watch that fell silent is never given up."""
+    """Never times out a silent watch."""
     from ramppulley.fleet.platform import watch
 
     watch.TIMEOUTS = watch.TIMEOUTS._replace(silence_s=1e6, first_line_s=1e6)
 
 
 def no_release() -> None:
-    """What is held is never released."""
+    """Never releases KV state."""
     from ramppulley.engines.platform.releases import KvReleases
 
     replace(KvReleases, "schedule", lambda self, tracked, delay_s: None)
 
 
 def release_waits() -> None:
-    """A release waits for a decode that may never have arrived."""
+    """Delays a release for a decode that may never have arrived."""
     from ramppulley.rules import PolicyRequest
 
     replace(PolicyRequest, "on_unanswered", lambda self, attempt: None)
 
 
 def whole_deadline_told() -> None:
-    """Each worker is told the client's whole deadline."""
+    """Sends each worker the client's whole deadline instead of the remaining time."""
     from ramppulley.engines.platform.connector import PlatformConnector
 
     build = PlatformConnector._build_request
 
-    def told_all(self: Any, attempt: Any, connections: Any) -> bytes:
+    def build_request(self: Any, attempt: Any, connections: Any) -> bytes:
         attempt.remaining = attempt.tracked.request.deadline + 3_000
         return build(self, attempt, connections)
 
-    replace(PlatformConnector, "_build_request", told_all)
+    replace(PlatformConnector, "_build_request", build_request)
 
 
 def lost_means_never_ran() -> None:
-    """A connection that breaks behind a request proves that it never ran."""
+    """Treats a connection lost after the request was sent as proof that the request never ran."""
     from ramppulley import door
     from ramppulley.engines import proof
 
@@ -101,7 +101,7 @@
 
 
 def holds_events() -> None:
-    """Events are passed on late."""
+    """Forwards events late."""
     from ramppulley.fronts.response_stream import ResponseStream
 
     pass_on = ResponseStream.pass_on
@@ -117,7 +117,7 @@
 
 
 def patient_with_stalled() -> None:
-    """A client that stops inside a request is waited for."""
+    """Waits for a client that stalls within its request."""
     from ramppulley.fronts import client_connection
     from ramppulley.fronts.platform import server
 
@@ -126,7 +126,7 @@
 
 
 def stops_at_once() -> None:
-    """A shutdown cuts what it has taken."""
+    """Cuts accepted requests at shutdown."""
     from ramppulley.daemon.platform import node
 
     stop = node.Node.stop
@@ -138,7 +138,7 @@
 
 
 def takes_after_shutdown() -> None:
-    """A shutdown goes on taking requests on connections that are open."""
+    """Goes on accepting requests on open connections during shutdown."""
     from ramppulley.daemon.platform import node
 
     node.ACCEPT_AFTER_SIGTERM_S = 3.0
@@ -151,7 +151,7 @@
 
 
 def closes_rejected() -> None:
-    """A request that is turned back has its connection closed with no answer."""
+    """Closes the connection of a rejected request without a response."""
     from ramppulley.fronts.platform.server import PlatformFront
     from ramppulley.service.neutral import COMPLETED
 
@@ -166,15 +166,15 @@
 
 
 def late_timers() -> None:
-    """Timers take three times as long."""
+    """Fires timers after three times their delay."""
     from ramppulley.service.clock import LoopClock
 
     after = LoopClock.after
-    replace(LoopClock, "after", lambda self, wait, call, *args: after(self, 3 * wait, call, *args))
+    replace(LoopClock, "after", lambda self, delay, call, *args: after(self, 3 * delay, call, *args))
 
 
 def dies_by_reload() -> None:
-    """SIGHUP ends the process."""
+    """Dies on SIGHUP."""
     from ramppulley.daemon.platform import node
 
     def reload(self: Any, path: str) -> None:
@@ -184,14 +184,14 @@
 
 
 def serves_used_ids() -> None:
-    """An id that was used is served again."""
+    """Serves a request id that was used before."""
     from ramppulley.fronts.platform.server import PlatformFront
 
     replace(PlatformFront, "_forget_request", lambda self, name: self.open_requests.pop(name))
 
 
 def repeats_late() -> None:
-    """A guarded class is repeated whenever there is time left, after a pause."""
+    """Repeats requests of a guarded class whenever there is time left, after a pause."""
     from ramppulley.engines.platform.connector import PlatformConnector
     from ramppulley.rules import PolicyRequest
     from ramppulley.service.core import Core
@@ -202,14 +202,14 @@
 
     async def late(self: Any, attempt: Any) -> None:
         if attempt.is_prefill and any(not earlier.is_prefill for earlier in attempt.tracked.attempts[:-1]):
-            await asyncio.sleep(1.1)  # the prompt is read again, late
+            await asyncio.sleep(1.1)  # delays the second prefill
         await before(self, attempt)
 
     replace(PlatformConnector, "_before_first_byte", late)
 
 
 def two_attempts() -> None:
-    """The prefill is asked twice at once."""
+    """Sends two prefills at once."""
     from ramppulley.engines.platform.connector import PlatformConnector
 
     start = PlatformConnector.start
@@ -217,12 +217,12 @@
     def twice(self: Any, core: Any, attempt: Any) -> None:
         start(self, core, attempt)
         if attempt.is_prefill:
-            others = [
+            candidates = [
                 endpoint
                 for endpoint in self.workers
                 if endpoint.role == "read" and endpoint.state == "ready" and endpoint is not attempt.endpoint
             ]
-            for endpoint in others[:1]:
+            for endpoint in candidates[:1]:
                 self._spawn(self._shadow(attempt, endpoint))
 
     async def shadow(self: Any, attempt: Any, endpoint: Any) -> None:
@@ -235,12 +235,12 @@
             parser.feed(await transport.receive())
         self.workers[endpoint].connections.discard(transport)
 
-    setattr(PlatformConnector, "_shadow", shadow)  # noqa: B010 - it has none
+    setattr(PlatformConnector, "_shadow", shadow)  # noqa: B010 - `replace` needs an existing attribute
     replace(PlatformConnector, "start", twice)
 
 
 def forgets_state_beside() -> None:
-    """A release beside a decode that is out is taken for the last one."""
+    """Forgets the KV state after a release during an open decode, so that it is not released again."""
     from ramppulley.service.core import Core
 
     release: Any = Core._release
@@ -253,33 +253,33 @@
 
 
 def releases_once() -> None:
-    """A release behind an attempt that was given up is never repeated."""
+    """Never repeats the release after an attempt that was cancelled."""
     from ramppulley.engines.platform.releases import KvReleases
 
     replace(KvReleases, "repeat_release", lambda self, tracked, endpoint: None)
 
 
 def begins_for_nobody() -> None:
-    """An attempt's last look does not ask whether its client is there."""
+    """Does not check whether the client is connected before an attempt begins."""
     from ramppulley.service import permission
 
     may_begin = permission.may_begin_attempt
 
-    def for_nobody(facts: permission.AttemptFacts) -> permission.Refusal | None:
+    def without_client_check(facts: permission.AttemptFacts) -> permission.Refusal | None:
         return may_begin(facts._replace(client_gone=False))
 
-    replace(permission, "may_begin_attempt", for_nobody)
+    replace(permission, "may_begin_attempt", without_client_check)
 
 
 def impatient_watch() -> None:
-    """A call of discovery that brought nothing is given up for the next one."""
+    """Abandons a call to discovery that has returned nothing, for the next call."""
     from ramppulley.fleet.platform import watch
 
     watch.TIMEOUTS = watch.TIMEOUTS._replace(slow_line_s=watch.TIMEOUTS.first_line_s)
 
 
 class Mutant(NamedTuple):
-    """A planted fault, and the kinds of faults of a schedule under which it shows."""
+    """A planted fault, and the kinds of faults in a schedule that expose it."""
 
     plant: Callable[[], None]
     shows_under: tuple[str, ...]
@@ -313,7 +313,7 @@
 
 
 def main(name: str) -> int:
-    """One router with this fault; the exit status of the program."""
+    """Runs a router with this fault; returns the exit status of the program."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from ramppulley.daemon.platform.command import main as run_platform
 
--- a/ramppulley/standin/server/holds.py
+++ b/ramppulley/standin/server/holds.py
@@ -62,7 +62,7 @@
                     self._engine.drop_reservation(key)
 
     def note_release_request(self, raw_body: bytes, arrived: int) -> None:
-        """Records when a release was first asked for: a silent engine acts on it later, or never if the caller hung up meanwhile."""
+        """Records when a release was first asked for: a silent engine acts later, or never if the caller hung up."""
         try:
             body = msgspec.json.decode(raw_body)
             key = (body.get("remote_block_ids") or [str(body.get("request_id"))])[0]
--- a/ramppulley/standin/shim.c
+++ b/ramppulley/standin/shim.c
@@ -1,8 +1,8 @@
-/* A library for LD_PRELOAD: steps the wall clock of one process and has its system calls fail, as a shared file tells.
+/* A library for LD_PRELOAD: steps the wall clock of a process and makes its system calls fail, controlled by a shared file.
  *
- * The file holds 64-bit numbers: the step of the wall clock in nanoseconds, then an errno and a count for each call below;
- * while the count is above 0, the call fails with that errno and the count goes down. The monotonic clock is never touched.
- * SLOW_TURN, in nanoseconds: a wait for events that brought some returns so much later, as on a machine without a free CPU.
+ * The file holds 64-bit numbers: the step of the wall clock in nanoseconds, then an errno and a count for each call below.
+ * While the count is above 0, the call fails with that errno and decrements the count. The monotonic clock is not changed.
+ * SLOW_TURN, in nanoseconds: a wait that returned events returns so much later, as on a machine without a free CPU.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -34,7 +34,7 @@
         shared = map;
 }
 
-static int planted(int field)
+static int fails_next(int field)
 {
     if (!shared || shared[field + 1] <= 0)
         return 0;
@@ -61,40 +61,40 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *length)
 {
-    return planted(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
+    return fails_next(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
-    return planted(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
+    return fails_next(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
-    return planted(CONNECT) ? -1 : REAL(connect)(fd, address, length);
+    return fails_next(CONNECT) ? -1 : REAL(connect)(fd, address, length);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length)
 {
-    return planted(SETSOCKOPT) ? -1 : REAL(setsockopt)(fd, level, name, value, length);
+    return fails_next(SETSOCKOPT) ? -1 : REAL(setsockopt)(fd, level, name, value, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
-    return planted(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
+    return fails_next(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int most, int timeout, const sigset_t *mask)
+int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout, const sigset_t *mask)
 {
     static int (*real)(int, struct epoll_event *, int, int, const sigset_t *);
     if (!real)
         real = REAL(epoll_pwait);
-    int count = real(fd, events, most, timeout, mask);
+    int count = real(fd, events, max_events, timeout, mask);
     if (count > 0 && shared && shared[SLOW_TURN] > 0) {
         struct timespec pause = {shared[SLOW_TURN] / 1000000000, shared[SLOW_TURN] % 1000000000};
-        int kept = errno;
+        int saved_errno = errno;
         nanosleep(&pause, NULL);
-        errno = kept;
+        errno = saved_errno;
     }
     return count;
 }
--- a/ramppulley/standin/streams.py
+++ b/ramppulley/standin/streams.py
@@ -1,23 +1,23 @@
-"""Streams between routers with the faults of their links: each connection to a port of the rig goes on to its router.
+"""TCP relays between routers, with the faults of their links.
 
-Bytes pass in order and whole, as on a real stream: a link can bring them late, slowly, or not at all; it can keep
-the connection open at one end only, or reset it. The vocabulary is that of `links.Link`: `cut` resets what is open and
-refuses what is new, `stalled` keeps all bytes until it goes on, `half_open` lets this way's bytes vanish without a word.
+Bytes pass in order and whole, as on a real stream, but a link can delay them, slow them down or stop them; it can leave
+the connection open at one end only, or reset it. The faults are those of `links.Link`: `cut` resets open connections and
+refuses new ones, `stalled` holds all bytes until it ends, and `half_open` silently drops the bytes of one direction.
 """
 
 import asyncio
 
 from ramppulley.wire.sockets import Listener, connect
 
-PIECE = 16 << 10  # bytes read at once; a stall keeps one piece, the rest waits at the kernels: backpressure
-LOOK = 0.02  # seconds between two looks whether a stall is over
+PIECE = 16 << 10  # bytes read at once; a stall holds one piece, and the kernels' buffers the rest: backpressure
+STALL_POLL_S = 0.02  # between two checks whether a stall has ended
 
 
 class StreamRelay:
-    """One way in for connections from `source` to `target`, whose address is `to`. `links`: read at each piece."""
+    """Forwards connections from `source` to `target`, whose address is `to`. `links` is read before each piece."""
 
     def __init__(self, links, source, target, to):
-        self.links, self.there, self.back, self.to = links, (source, target), (target, source), to
+        self.links, self.forward, self.backward, self.to = links, (source, target), (target, source), to
         self.open, self.half_open = set(), set()
         self.listener = Listener(self._serve)
         self.port = self.listener.port
@@ -30,7 +30,7 @@
         await self.listener.stop()
 
     def change(self, pair, half_open=None, **more):
-        """As `Links.change`; a cut resets all that is open."""
+        """As `Links.change`; a cut resets all open connections."""
         if half_open is not None:
             (self.half_open.add if half_open else self.half_open.discard)(pair)
         if more:
@@ -40,7 +40,7 @@
                 transport.reset()
 
     async def _serve(self, transport):
-        if self.links.of(self.there).cut or self.links.of(self.back).cut:
+        if self.links.of(self.forward).cut or self.links.of(self.backward).cut:
             transport.reset()
             return
         try:
@@ -49,33 +49,33 @@
             transport.reset()
             return
         self.open |= {transport, other}
-        ways = [
-            asyncio.ensure_future(self._pass(transport, other, self.there)),
-            asyncio.ensure_future(self._pass(other, transport, self.back)),
+        directions = [
+            asyncio.ensure_future(self._forward(transport, other, self.forward)),
+            asyncio.ensure_future(self._forward(other, transport, self.backward)),
         ]
         try:
-            await asyncio.gather(*ways)
-        except OSError:  # one end was reset: so is the other
+            await asyncio.gather(*directions)
+        except OSError:  # a reset of one end resets the other
             transport.reset()
             other.reset()
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
+            for task in directions:
+                task.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
             self.open -= {transport, other}
             other.close()
 
-    async def _pass(self, source, target, pair):
-        """One way, piece by piece; its end is passed on as an end of that way only."""
+    async def _forward(self, source, target, pair):
+        """Forwards one direction piece by piece; its end shuts down that direction only."""
         while data := await source.receive():
             link = self.links.of(pair)
-            wait = (link.delay + int(link.jitter * self.links.chance.random())) / 10_000
+            delay = (link.delay + int(link.jitter * self.links.rng.random())) / 10_000
             if link.per_second:
-                wait += len(data) / link.per_second
-            if wait:
-                await asyncio.sleep(wait)
+                delay += len(data) / link.per_second
+            if delay:
+                await asyncio.sleep(delay)
             while self.links.of(pair).stalled:
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(STALL_POLL_S)
             if pair not in self.half_open:
                 await target.send(data)
         if pair not in self.half_open:
