--- a/ramppulley/check/__init__.py
+++ b/ramppulley/check/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of the rules, from what crossed the sockets."""
+"""Checkers of the routing rules, from what crossed the sockets."""
--- a/ramppulley/check/replay.py
+++ b/ramppulley/check/replay.py
@@ -1,6 +1,6 @@
-"""Records of module events played again through any text of the module, action by action.
+"""Replays recorded events of the policy module through any version of it and compares the actions.
 
-The regression proof of a change of the module, and its cost by kind of event.
+Used to show that a change of the module does not change its actions, and to measure its CPU by kind of event.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Difference(Exception):
-    """The first step whose actions are not those of the record."""
+    """The first step whose actions differ from the record."""
 
     def __init__(self, number, step, actions, state, path=""):
         at = next(
@@ -31,141 +31,139 @@
 
 
 def _state(router):
-    """The router's state at a difference, in few words; an older text of the module has other attribute names."""
+    """A summary of the router's state; older versions of the module have other attribute names."""
     requests = router.requests if hasattr(router, "requests") else router.questions
     queue = router.admission if hasattr(router, "admission") else router.desk
-    first = queue.new_requests if hasattr(queue, "new_requests") else queue.first
-    further = queue.retried_requests if hasattr(queue, "retried_requests") else queue.further
+    new = queue.new_requests if hasattr(queue, "new_requests") else queue.first
+    retried = queue.retried_requests if hasattr(queue, "retried_requests") else queue.further
     suspect = sum(bool(w.suspect if hasattr(w, "suspect") else w.doubted) for w in router.workers.values())
     return (
-        f"{len(requests)} requests, {len(first)} + {len(further)} in line, "
+        f"{len(requests)} requests, {len(new)} + {len(retried)} in line, "
         f"{suspect} of {len(router.workers)} workers suspect"
     )
 
 
-class _Player:
-    """One record on its way through a text of the module."""
+class _RecordPlayer:
+    """Replays one record through a version of the module."""
 
     def __init__(self, path, router_class):
-        head, self.steps = read(path)
-        self.path, self.names = path, RecordedObjects(keep=True)
-        self.cases, self.endpoints, self.recording_host = (
-            [door.RequestClass(**c) for c in head.use_cases],
-            {},
-            RecordingHost(self.names),
-        )
+        header, self.steps = read(path)
+        self.path, self.objects = path, RecordedObjects(keep=True)
+        self.request_classes = [door.RequestClass(**fields) for fields in header.use_cases]
+        self.endpoints = {}
+        self.recording_host = RecordingHost(self.objects)
         self.router = router_class(
             self.recording_host,
-            seed=head.seed,
-            routers=head.routers,
-            zone=head.zone,
-            use_cases=self.cases,
-            accounts=[door.TenantShare(**a) for a in head.accounts],
-            permits=door.Capabilities(**head.permits),
-            lawbook=door.PolicySettings(**head.lawbook),
-            now=head.now,
+            seed=header.seed,
+            routers=header.routers,
+            zone=header.zone,
+            use_cases=self.request_classes,
+            accounts=[door.TenantShare(**a) for a in header.accounts],
+            permits=door.Capabilities(**header.permits),
+            lawbook=door.PolicySettings(**header.lawbook),
+            now=header.now,
         )
 
     def play(self, number, step, compare):
-        """Nanoseconds of CPU of one step; raises Difference."""
-        args = _args(step, self.names, self.endpoints, self.cases)
-        call, began = getattr(self.router, step.event), time.process_time_ns()
-        call(step.now, *args)
-        spent = time.process_time_ns() - began
+        """Replays one step: its CPU time in nanoseconds. Raises Difference."""
+        args = _arguments_of(step, self.objects, self.endpoints, self.request_classes)
+        handler, started = getattr(self.router, step.event), time.process_time_ns()
+        handler(step.now, *args)
+        cpu_ns = time.process_time_ns() - started
         actions = self.recording_host.take_actions()
         if compare and actions != step.actions:
             raise Difference(number, step, actions, _state(self.router), self.path)
-        return spent
+        return cpu_ns
 
 
 def replay(path, router_class, compare=True):
-    """Plays a record, or all of a folder by their times in one process, through a text of the module.
+    """Replays a record, or all records of a folder merged by time, through a version of the module.
 
-    Raises Difference at the first step that is not the same. Returns {event: (times, seconds of CPU)}; CPU is the module's
-    alone, the comparing is not in it.
+    Raises Difference at the first step that differs. Returns {event: (count, seconds of CPU)}; the CPU is of the module
+    alone, without the comparison.
     """
     paths = sorted(Path(path).glob("*.rec")) if Path(path).is_dir() else [path]
     if not paths:
         raise ValueError(f"{path}: no record in this folder")
-    players, spent, times = [_Player(one, router_class) for one in paths], defaultdict(int), Counter()
+    players, cpu_ns, counts = [_RecordPlayer(one, router_class) for one in paths], defaultdict(int), Counter()
 
-    def line(who):
-        return ((step.now, who, number, step) for number, step in enumerate(players[who].steps))
+    def steps_of(player):
+        return ((step.now, player, number, step) for number, step in enumerate(players[player].steps))
 
-    for _, who, number, step in heapq.merge(*map(line, range(len(players))), key=lambda told: told[:3]):
-        spent[step.event] += players[who].play(number, step, compare)
-        times[step.event] += 1
-    return {event: (times[event], spent[event] / 1e9) for event in times}
+    for _, player, number, step in heapq.merge(*map(steps_of, range(len(players))), key=lambda entry: entry[:3]):
+        cpu_ns[step.event] += players[player].play(number, step, compare)
+        counts[step.event] += 1
+    return {event: (counts[event], cpu_ns[event] / 1e9) for event in counts}
 
 
-def _args(step, names, endpoints, cases):  # noqa: C901 - one branch an event
-    """A step's plain arguments as the module's objects."""
+def _arguments_of(step, objects, endpoints, request_classes):  # noqa: C901 - one branch per event
+    """The arguments of a step as the module's objects."""
     given, event = step.given, step.event
     if event == "listed":
-        found = []
-        for number, told in given:
-            told["heard"] = _hearsay(told.get("heard"))
+        listed = []
+        for number, fields in given:
+            fields["heard"] = _peer_report_of(fields.get("heard"))
             endpoint = endpoints.get(number)
             if endpoint is None:
-                endpoint = endpoints[number] = door.Endpoint(**told)
-                names.endpoints.of(endpoint)
-            for key, value in told.items():
+                endpoint = endpoints[number] = door.Endpoint(**fields)
+                objects.endpoints.of(endpoint)
+            for key, value in fields.items():
                 setattr(endpoint, key, value)
-            found.append(endpoint)
-        return [found]
+            listed.append(endpoint)
+        return [listed]
     if event == "told":
-        for number, told, trial in given:
-            endpoints[number].heard, endpoints[number].trial = _hearsay(told), trial
+        for number, peer_report, trial in given:
+            endpoints[number].heard, endpoints[number].trial = _peer_report_of(peer_report), trial
         return [[endpoints[number] for number, *_ in given]]
     if event == "arrived":
-        view = door.RequestView(cases[given[1]], **given[2])
-        names.views.of(view)
+        view = door.RequestView(request_classes[given[1]], **given[2])
+        objects.views.of(view)
         return [view]
     if event == "reminded":
-        return [names.notes.objects[given[0]]]
+        return [objects.notes.objects[given[0]]]
     if event == "probed":
-        return [names.endpoints.objects[given[0]], given[1], given[2] and door.LoadReport(**given[2])]
-    view = names.views.objects[given[0]]
+        return [objects.endpoints.objects[given[0]], given[1], given[2] and door.LoadReport(**given[2])]
+    view = objects.views.objects[given[0]]
     if event == "left":
         return [view]
     if event == "place":
-        return [view, names.endpoints.objects[given[1]], given[2]]
-    attempt = names.attempts.objects[given[1]]
+        return [view, objects.endpoints.objects[given[1]], given[2]]
+    attempt = objects.attempts.objects[given[1]]
     if event == "first_token":
         return [view, attempt]
     return [view, attempt, *given[2:5], given[5] and door.LoadReport(**given[5])]
 
 
-def _hearsay(told):
-    return told and door.PeerReport(**told)
+def _peer_report_of(fields):
+    return fields and door.PeerReport(**fields)
 
 
 def text_of(path):
-    """The Router of another text of the module, from its rules.py; with the parts.py beside it if there is one."""
+    """The Router class of another version of the module: a rules.py, with the parts.py in its folder if there is one."""
     path, name = Path(path), "ramppulley.parts"
-    now, beside = sys.modules.get(name), path.with_name("parts.py")
+    current, parts_path = sys.modules.get(name), path.with_name("parts.py")
     try:
-        if beside.exists():
-            sys.modules[name] = _module("ramppulley_other_parts", beside)
-        return _module("ramppulley_other_rules", path).Router
+        if parts_path.exists():
+            sys.modules[name] = _load_module("ramppulley_other_parts", parts_path)
+        return _load_module("ramppulley_other_rules", path).Router
     finally:
-        if now is not None:
-            sys.modules[name] = now
+        if current is not None:
+            sys.modules[name] = current
 
 
 def text_at(commit, folder):
-    """The Router as it stood at a commit of this repository; its files are put into the folder."""
+    """The Router class at a commit of this repository; its files are written to `folder`."""
     for name in ("rules.py", "parts.py"):
-        told = subprocess.run(
+        result = subprocess.run(
             ["git", "-C", Path(__file__).parent, "show", f"{commit}:ramppulley/{name}"], capture_output=True, timeout=20
         )
-        if told.returncode:
-            raise ValueError(f"{commit}: {told.stderr.decode(errors='replace').strip()}")
-        Path(folder, name).write_bytes(told.stdout)
+        if result.returncode:
+            raise ValueError(f"{commit}: {result.stderr.decode(errors='replace').strip()}")
+        Path(folder, name).write_bytes(result.stdout)
     return text_of(Path(folder, "rules.py"))
 
 
-def _module(name, path):
+def _load_module(name, path):
     spec = importlib.util.spec_from_file_location(name, path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -71,7 +71,7 @@
 
 
 def level():
-    """Does not report its share of the traffic to its peers."""
+    """Does not report its traffic to its peers."""
     members.Members.told_traffic = lambda self, traffic: None
 
 
@@ -119,7 +119,7 @@
 
 
 def turnless():
-    """Probes at any time, not only in its turn."""
+    """Acts without waiting for a permit."""
     turns.Turns.may = lambda self, now, thing: True
 
 
