--- a/ramppulley/check/replay.py
+++ b/ramppulley/check/replay.py
@@ -30,7 +30,7 @@
         )
 
 
-def _state(router):
+def _summary_of(router):
     """A summary of the router's state; older versions of the module have other attribute names."""
     requests = router.requests if hasattr(router, "requests") else router.questions
     queue = router.admission if hasattr(router, "admission") else router.desk
@@ -72,7 +72,7 @@
         cpu_ns = time.process_time_ns() - started
         actions = self.recording_host.take_actions()
         if compare and actions != step.actions:
-            raise Difference(number, step, actions, _state(self.router), self.path)
+            raise Difference(number, step, actions, _summary_of(self.router), self.path)
         return cpu_ns
 
 
@@ -85,7 +85,7 @@
     paths = sorted(Path(path).glob("*.rec")) if Path(path).is_dir() else [path]
     if not paths:
         raise ValueError(f"{path}: no record in this folder")
-    players, cpu_ns, counts = [_RecordPlayer(one, router_class) for one in paths], defaultdict(int), Counter()
+    players, cpu_ns, counts = [_RecordPlayer(record, router_class) for record in paths], defaultdict(int), Counter()
 
     def steps_of(player):
         return ((step.now, player, number, step) for number, step in enumerate(players[player].steps))
--- a/ramppulley/cli/app.py
+++ b/ramppulley/cli/app.py
@@ -1,4 +1,4 @@
-"""The application that all commands are registered with, and how they fail and read their settings."""
+"""The application that all commands are registered with, and their shared error exit and settings reader."""
 
 from pathlib import Path
 from typing import NoReturn
@@ -23,10 +23,10 @@
 
 
 def settings_of(path: Path) -> Orders:
-    """The settings file, read and checked."""
+    """Reads and validates a settings file; ends the command if it cannot be used."""
     try:
         return json5.read(path, Orders)
-    except OSError as fault:
-        fail(f"{path}: {fault.strerror}")
-    except json5.BadFile as fault:
-        fail(str(fault))
+    except OSError as error:
+        fail(f"{path}: {error.strerror}")
+    except json5.BadFile as error:
+        fail(str(error))
--- a/ramppulley/cli/inspecting.py
+++ b/ramppulley/cli/inspecting.py
@@ -1,4 +1,4 @@
-"""Commands that look at what routers know or keep: peers, store verify, store show."""
+"""Commands that show what routers know and store: peers, store verify, store show."""
 
 import json
 from pathlib import Path
@@ -8,43 +8,45 @@
 
 from ramppulley.cli.app import app, fail, settings_of
 
-store_app = typer.Typer(no_args_is_help=True, help="What a router keeps on its disk, read without changing it.")
+store_app = typer.Typer(no_args_is_help=True, help="Read what a router stores on its disk, without changing it.")
 app.add_typer(store_app, name="store")
 
 
 @app.command()
 def peers(
     settings: Path,
-    port: Annotated[int, typer.Option(help="of the router's datagrams, where the settings say 0")] = 0,
-    count: Annotated[str, typer.Option(help="off: from now on no router heeds signals and turns; on: they do")] = "",
+    port: Annotated[int, typer.Option(help="the router's UDP port, if the settings have 0")] = 0,
+    count: Annotated[
+        str, typer.Option(help="off: from now on all routers ignore signals and turns; on: they use them")
+    ] = "",
     json_: Annotated[bool, typer.Option("--json")] = False,
 ):
-    """Show a running router's view of the other routers, by its settings file; or switch signals and turns for all."""
+    """Show how a running router, given by its settings file, sees the other routers; or switch signals and turns for all."""
     from rich.console import Console
     from rich.table import Table
 
     from ramppulley.daemon import asking
 
-    orders = settings_of(settings)
-    told = orders.peers
-    if told is None:
+    loaded = settings_of(settings)
+    peer_settings = loaded.peers
+    if peer_settings is None:
         fail(f"{settings}: peers: this router keeps to itself (add this part to have it talk to others)")
-    if not (port or told.port):
+    if not (port or peer_settings.port):
         fail(f"{settings}: peers.port: any free one; say --port, the router's log line `peers ready` has it")
     try:
-        key = (settings.parent / told.key_file).read_bytes().strip()
-        rows = asking.view(told.cluster, key, (told.host, port or told.port))
+        key = (settings.parent / peer_settings.key_file).read_bytes().strip()
+        rows = asking.view(peer_settings.cluster, key, (peer_settings.host, port or peer_settings.port))
         if count:
-            heard, there = asking.switch(told.cluster, key, rows, {"on": True, "off": False}[count])
+            confirmed, known = asking.switch(peer_settings.cluster, key, rows, {"on": True, "off": False}[count])
             typer.echo(
-                f"{len(heard)} of {len(there)} routers heard it"
-                + "".join(f"; {name} did not" for name in sorted(there - heard))
+                f"{len(confirmed)} of {len(known)} routers heard it"
+                + "".join(f"; {name} did not" for name in sorted(known - confirmed))
             )
-            raise typer.Exit(int(heard != there))
+            raise typer.Exit(int(confirmed != known))
     except KeyError:
         fail(f"--count {count}: on or off")
-    except (OSError, ValueError) as fault:
-        fail(f"{settings}: {getattr(fault, 'strerror', None) or fault}")
+    except (OSError, ValueError) as error:
+        fail(f"{settings}: {getattr(error, 'strerror', None) or error}")
     names = ("name", "state", "incarnation", "zone", "machine", "traffic", "host", "port", "for_s")
     if json_:
         typer.echo(json.dumps([dict(zip(names, row)) for row in rows]))
@@ -56,7 +58,7 @@
 
 
 def read_store(folder):
-    """(Mark, Found) of a log's folder, of whatever router it is; nothing is changed there."""
+    """(Mark, Found) of the log in a folder, which may be of any router. Changes nothing."""
     from ramppulley.store.disk import Disk
     from ramppulley.store.log import Unfit, mark_of, read_log
 
@@ -67,15 +69,15 @@
         if mark is None:
             fail(f"{folder}: no log is here")
         return mark, read_log(folder, mark.cluster, mark.owner, Disk())[1]
-    except Unfit as fault:
-        fail(str(fault))
-    except OSError as fault:
-        fail(f"{folder}: {fault.strerror}")
+    except Unfit as error:
+        fail(str(error))
+    except OSError as error:
+        fail(f"{folder}: {error.strerror}")
 
 
 @store_app.command("verify")
 def store_verify(folder: Path):
-    """Read a log's folder whole, of a router that does not run: exit code 1 if records that were promised cannot be read."""
+    """Read the whole log of a router that is not running: exit code 1 if committed records cannot be read."""
     mark, found = read_store(folder)
     typer.echo(
         f"log of router {mark.owner} of cluster {mark.cluster}, opened {mark.generation} times: "
@@ -91,7 +93,7 @@
 
 @store_app.command("show")
 def store_show(folder: Path, json_: Annotated[bool, typer.Option("--json")] = False):
-    """The records of a log's folder: number, epoch, kind, bytes."""
+    """List the records of a log: number, epoch, kind, bytes."""
     for record in read_store(folder)[1].records:
-        told = {"number": record.number, "epoch": record.epoch, "kind": record.kind, "bytes": len(record.payload)}
-        typer.echo(json.dumps(told) if json_ else " ".join(f"{key} {value}" for key, value in told.items()))
+        row = {"number": record.number, "epoch": record.epoch, "kind": record.kind, "bytes": len(record.payload)}
+        typer.echo(json.dumps(row) if json_ else " ".join(f"{key} {value}" for key, value in row.items()))
--- a/ramppulley/cli/main.py
+++ b/ramppulley/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line, `./rp`: each module beside this one registers its commands with the application."""
+"""The command line, `./rp`: importing the other modules of this package registers their commands."""
 
 from ramppulley.cli import inspecting, measuring, playing, serving, soaking, testing
 from ramppulley.cli.app import app
--- a/ramppulley/cli/serving.py
+++ b/ramppulley/cli/serving.py
@@ -1,4 +1,4 @@
-"""Commands that run a router: serve, platform, up; and check, which reads what one would run by."""
+"""Commands that run a router: serve, platform, up; and check, which validates its settings."""
 
 import asyncio
 import gc
@@ -17,23 +17,23 @@
 
 
 def stop_signal():
-    """An event that SIGINT and SIGTERM set; made before anything says that it is ready."""
-    loop, told = asyncio.get_running_loop(), asyncio.Event()
+    """An event that SIGINT and SIGTERM set. Created before the router reports ready, so that no signal is missed."""
+    loop, stopping = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, told.set)
-    return told
+        loop.add_signal_handler(number, stopping.set)
+    return stopping
 
 
 async def run(daemon, seconds=None):
-    """Runs a router until a signal or for so many seconds; prints where it listens."""
+    """Runs a router until a signal, or for a number of seconds; prints where it listens."""
     stopping = stop_signal()
     try:
         await daemon.start()
-    except (OSError, json5.BadFile) as fault:
-        fail(str(fault))
+    except (OSError, json5.BadFile) as error:
+        fail(str(error))
     gc.collect()
-    gc.freeze()  # what the start made stays: no full collection walks it again
-    gc.set_threshold(20_000, 20, 50)  # a full one stops every stream for tens of milliseconds
+    gc.freeze()  # objects created at start-up are permanent: full collections skip them
+    gc.set_threshold(20_000, 20, 50)  # a full collection stalls every stream for tens of milliseconds
     typer.echo(f"ready http://127.0.0.1:{daemon.front.port}")
     sys.stdout.flush()
     try:
@@ -45,7 +45,7 @@
 
 
 def policy_of(name):
-    """The maker of the module or of a baseline with this name."""
+    """The constructor of the policy with this name: the module or a baseline."""
     from ramppulley.load.baselines import POLICIES
 
     if name not in POLICIES:
@@ -56,17 +56,17 @@
 @app.command()
 def serve(
     settings: Path,
-    policy: Annotated[str, typer.Option(help="module, or a baseline to measure against: random, least")] = "module",
+    policy: Annotated[str, typer.Option(help="module, or a baseline for comparison: random, least")] = "module",
 ):
-    """Run the router alone, by a settings file."""
-    orders = settings_of(settings)
-    edges = {"where": str(settings)} if orders.peers else {}
-    uvloop.run(run(Daemon(orders, logs(orders.log), settings.parent, policy_of(policy), **edges)))
+    """Run the router with a settings file."""
+    loaded = settings_of(settings)
+    extra = {"where": str(settings)} if loaded.peers else {}
+    uvloop.run(run(Daemon(loaded, logs(loaded.log), settings.parent, policy_of(policy), **extra)))
 
 
 @app.command()
 def platform():
-    """Run the router on the operators' platform, by PROXY_CONFIG (`python -m ramppulley platform` loads nothing else)."""
+    """Run the router on the platform, configured by PROXY_CONFIG (`python -m ramppulley platform` loads nothing else)."""
     from ramppulley.daemon.platform.command import main
 
     raise typer.Exit(main())
@@ -74,35 +74,35 @@
 
 @app.command()
 def check(settings: Path):
-    """Check a settings file, and the list of workers that it names if that is there."""
+    """Validate a settings file, and the list of workers that it names if that exists."""
     from ramppulley.fleet.listing import Listing
 
-    orders = settings_of(settings)
-    listing = settings.parent / orders.workers.file
+    loaded = settings_of(settings)
+    listing = settings.parent / loaded.workers.file
     if listing.exists():
         try:
             count = len(json5.read(listing, Listing).workers)
-        except json5.BadFile as fault:
-            fail(str(fault))
+        except json5.BadFile as error:
+            fail(str(error))
         typer.echo(f"{listing}: {count} workers")
     typer.echo(f"{settings}: good")
 
 
 @app.command()
 def up(
-    port: Annotated[int, typer.Option(help="0 = any free one")] = 8080,
-    for_: Annotated[float | None, typer.Option("--for", help="seconds; else until told to stop")] = None,
+    port: Annotated[int, typer.Option(help="0 = any free port")] = 8080,
+    for_: Annotated[float | None, typer.Option("--for", help="seconds; default: until a signal")] = None,
 ):
     """Run a stand-in fleet and the router in the foreground."""
     from ramppulley.standin.demo import demo_fleet, demo_orders
 
-    async def both():
+    async def run_both():
         with tempfile.TemporaryDirectory(prefix="rp-") as folder:
             fleet = await demo_fleet(Path(folder) / "workers.json5").start()
-            orders = demo_orders(port)
+            settings = demo_orders(port)
             try:
-                await run(Daemon(orders, logs("console"), folder), for_)
+                await run(Daemon(settings, logs("console"), folder), for_)
             finally:
                 await fleet.stop()
 
-    uvloop.run(both())
+    uvloop.run(run_both())
--- a/ramppulley/cli/soaking.py
+++ b/ramppulley/cli/soaking.py
@@ -1,4 +1,4 @@
-"""The command that hunts faults with real router processes: soak."""
+"""The command that runs random faults against real router processes: soak."""
 
 import os
 import time
@@ -16,20 +16,18 @@
 
 @app.command()
 def soak(
-    file: Annotated[Path | None, typer.Argument(help="a schedule that was kept, instead of seeds")] = None,
-    seeds: Annotated[str, typer.Option(help="several with commas between, or FIRST-LAST")] = "1-3",
-    minutes: Annotated[float, typer.Option(help="no schedule begins after so long")] = 30.0,
-    jobs: Annotated[int, typer.Option(min=1, help="schedules side by side; each is eleven processes")] = min(
+    file: Annotated[Path | None, typer.Argument(help="a schedule that was saved, instead of seeds")] = None,
+    seeds: Annotated[str, typer.Option(help="a list separated by commas, or FIRST-LAST")] = "1-3",
+    minutes: Annotated[float, typer.Option(help="no schedule starts after this time")] = 30.0,
+    jobs: Annotated[int, typer.Option(min=1, help="schedules at once; each runs eleven processes")] = min(
         MAX_JOBS, max(1, (os.cpu_count() or 1) // 3)
     ),
-    only: Annotated[str, typer.Option(help="kinds of faults, with commas between")] = "",
-    mutant: Annotated[str, typer.Option(help="break all routers on purpose in one way; `all` tries each")] = "",
-    keep: Annotated[
-        Path | None, typer.Option(help="folder for failing schedules, cut down to what still fails")
-    ] = None,
-    coverage: Annotated[Path | None, typer.Option(help="file for the table of what met what")] = None,
+    only: Annotated[str, typer.Option(help="kinds of faults, separated by commas")] = "",
+    mutant: Annotated[str, typer.Option(help="plant this fault in all routers; `all` tries each")] = "",
+    keep: Annotated[Path | None, typer.Option(help="folder for failing schedules, minimised")] = None,
+    coverage: Annotated[Path | None, typer.Option(help="CSV file for the combinations that occurred")] = None,
 ):
-    """Play random faults on real router processes and judge them by what crossed the sockets; exit code 1 on a breach."""
+    """Run random faults against real router processes and check what crossed the sockets; exit code 1 on a breach."""
     from ramppulley.load.soak import run, schedule
     from ramppulley.standin.platform_mutants import MUTANTS
 
@@ -42,8 +40,8 @@
         raise typer.Exit(_try_mutants(seeds_of(seeds), kinds, jobs))
     try:
         schedules = [schedule.read(file)] if file else list(run.draw_all(seeds_of(seeds), kinds, mutant))
-    except (OSError, ValueError) as fault:
-        fail(str(fault))
+    except (OSError, ValueError) as error:
+        fail(str(error))
     verdicts = []
     for verdict in run.play_all(schedules, jobs, time.monotonic() + 60 * minutes):
         verdicts.append(verdict)
@@ -72,9 +70,9 @@
 
     folder.mkdir(parents=True, exist_ok=True)
     for invariant in sorted(verdict.invariants):
-        smaller = run.shrink(verdict.schedule, invariant, typer.echo)
+        minimised = run.shrink(verdict.schedule, invariant, typer.echo)
         path = folder / f"{invariant}-{verdict.schedule.seed}.json"
-        schedule.write(path, smaller)
+        schedule.write(path, minimised)
         typer.echo(f"kept: ./rp soak {path}")
 
 
@@ -86,21 +84,21 @@
     typer.echo(f"{len(verdicts)} schedules; {pairs - len(missing)} of {pairs} pairs of faults overlapped")
     if path is None:
         return
-    met: Counter[tuple[str, str, str]] = Counter()
+    combinations: Counter[tuple[str, str, str]] = Counter()
     for verdict in verdicts:
-        met.update(verdict.phases)
+        combinations.update(verdict.phases)
     lines = ["fault,phase of a request,phase of its process,times"]
-    lines += [f"{','.join(key)},{count}" for key, count in sorted(met.items())]
+    lines += [f"{','.join(key)},{count}" for key, count in sorted(combinations.items())]
     lines += [f"never overlapped,{one},{other},0" for one, other in missing]
     path.write_text("\n".join(lines) + "\n")
 
 
 def _try_mutants(numbers: list[int], kinds: tuple[str, ...], jobs: int) -> int:
-    """Each planted fault until an invariant sees it; the exit code says whether all were seen."""
+    """Runs schedules with each planted fault until an invariant detects it; returns 0 if all were detected."""
     from ramppulley.load.soak import run
     from ramppulley.standin.platform_mutants import MUTANTS
 
-    unseen = []
+    undetected = []
     for name in MUTANTS:
         schedules = run.draw_all(numbers, kinds or MUTANTS[name].shows_under, name)
         for count, verdict in enumerate(run.play_all(schedules, jobs, time.monotonic() + 600), 1):
@@ -109,6 +107,6 @@
                 typer.echo("\n".join(verdict.timelines[:2]))
                 break
         else:
-            unseen.append(name)
+            undetected.append(name)
             typer.echo(f"{name}: NOT SEEN in {len(numbers)} schedules")
-    return int(bool(unseen))
+    return int(bool(undetected))
--- a/ramppulley/cli/testing.py
+++ b/ramppulley/cli/testing.py
@@ -9,7 +9,7 @@
 from ramppulley.cli.app import app
 
 ROOT = Path(__file__).parents[2]
-TESTS = ["pytest", "-n", "3", "--dist", "loadfile"]  # three processes; the tests of one file stay in one
+TESTS = ["pytest", "-n", "3", "--dist", "loadfile"]  # three processes; the tests of one file run in one of them
 CHECKS = [
     ["ruff", "format", "--check", "--quiet", "."],
     ["ruff", "check", "."],
@@ -19,18 +19,18 @@
 
 
 def run_step(command: list[str]) -> None:
-    """Runs one of the environment's programs in the repository; ends with its status where it fails."""
-    if command[0] == "lint-imports":  # it has no module to run by `-m`
-        start = [str(Path(sys.executable).parent / command[0])]
+    """Runs a program of the environment in the repository; ends the command with its status if it fails."""
+    if command[0] == "lint-imports":  # it has no module for `-m`
+        program = [str(Path(sys.executable).parent / command[0])]
     else:
-        start = [sys.executable, "-m", command[0]]
-    done = subprocess.run([*start, *command[1:]], cwd=ROOT)
-    if done.returncode:
-        raise typer.Exit(done.returncode)
+        program = [sys.executable, "-m", command[0]]
+    result = subprocess.run([*program, *command[1:]], cwd=ROOT)
+    if result.returncode:
+        raise typer.Exit(result.returncode)
 
 
 @app.command(context_settings={"allow_extra_args": True, "ignore_unknown_options": True})
 def test(context: typer.Context) -> None:
-    """Check format, lint, types and layers, then run all tests; more arguments go to pytest."""
+    """Check format, lint, types and layers, then run all tests; further arguments are passed to pytest."""
     for step in [["pytest", *context.args]] if context.args else [*CHECKS, TESTS]:
         run_step(step)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,87 +1,90 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault not yet mended, three at most.
+"""A pytest plugin for KNOWN-RED.txt at the root, which `conftest.py` loads: tests that fail for a known, unfixed fault.
 
-A line each: `test id | cause | issue`. They are run, and have to fail: by their own body, as a test that errs
-elsewhere or is killed shows no known fault. A plugin of pytest; `conftest.py` at the root loads it.
+The file has at most three lines `test id | cause | issue`. The tests are run and have to fail in their own body: one that
+fails in a fixture or is killed by its timeout does not show the known fault.
 """
 
 import ast
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
-LISTED, SEEN = pytest.StashKey(), pytest.StashKey()
+FILE, MAX_ENTRIES = "KNOWN-RED.txt", 3
+LISTED, RESULTS = pytest.StashKey(), pytest.StashKey()
 
 
-def entries(text):
-    """{test id: (cause, issue)} of a text; raises ValueError. Blank lines and `#` lines say nothing."""
-    found = {}
+def parse_entries(text):
+    """{test id: (cause, issue)} of the file's text; raises ValueError. Ignores blank lines and lines that begin with `#`."""
+    entries = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != 3 or not all(fields) or not fields[2].isdecimal():
             raise ValueError(f"{FILE}:{number}: `test id | cause | issue (a number)` is needed: {line!r}")
-        if fields[0] in found:
+        if fields[0] in entries:
             raise ValueError(f"{FILE}:{number}: {fields[0]} is listed twice")
-        found[fields[0]] = fields[1], fields[2]
-        if len(found) > MOST:
-            raise ValueError(f"{FILE}:{number}: a fourth entry, there may be {MOST}: mend one first")
-    return found
+        entries[fields[0]] = fields[1], fields[2]
+        if len(entries) > MAX_ENTRIES:
+            raise ValueError(f"{FILE}:{number}: a fourth entry, there may be {MAX_ENTRIES}: mend one first")
+    return entries
 
 
-def there(root, name):
-    """Whether a test that this run did not collect is in its file, as far as the text tells."""
+def is_defined(root, name):
+    """Whether a test that this run did not collect is defined in its file, as far as the syntax tree shows."""
     file, *names = name.partition("[")[0].split("::")
     try:
         tree = ast.parse((root / file).read_bytes())
     except (OSError, SyntaxError, ValueError):
         return False
-    kinds = ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef
-    defined = {node.name for node in ast.walk(tree) if isinstance(node, kinds)}
-    module = file.removesuffix(".py").replace("/", ".")  # a doctest's id begins with it
+    definitions = ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef
+    names_defined = {node.name for node in ast.walk(tree) if isinstance(node, definitions)}
+    module = file.removesuffix(".py").replace("/", ".")  # the id of a doctest begins with it
     return bool(names) and all(
-        part in defined for word in names for part in word.removeprefix(module).strip(".").split(".") if part
+        part in names_defined
+        for test_name in names
+        for part in test_name.removeprefix(module).strip(".").split(".")
+        if part
     )
 
 
 def pytest_configure(config):
     try:
-        listed = entries((config.rootpath / FILE).read_text(encoding="utf-8"))
+        listed = parse_entries((config.rootpath / FILE).read_text(encoding="utf-8"))
     except FileNotFoundError:
         listed = {}
-    except OSError as fault:
-        raise pytest.UsageError(f"{FILE}: {fault.strerror}") from None
-    except ValueError as fault:  # one that is no UTF-8 is among them
-        raise pytest.UsageError(str(fault)) from None
-    config.stash[LISTED], config.stash[SEEN] = listed, {}
-    config.pluginmanager.register(Collector(config.stash[SEEN]))
+    except OSError as error:
+        raise pytest.UsageError(f"{FILE}: {error.strerror}") from None
+    except ValueError as error:  # also UnicodeDecodeError
+        raise pytest.UsageError(str(error)) from None
+    config.stash[LISTED], config.stash[RESULTS] = listed, {}
+    config.pluginmanager.register(Collector(config.stash[RESULTS]))
 
 
 class Collector:
-    """Hears of each report, also of those that come from another process where several run the tests."""
+    """Collects the results of listed tests from all reports, also from those of xdist's worker processes."""
 
-    def __init__(self, seen):
-        self.seen = seen
+    def __init__(self, results):
+        self.results = results
 
     def pytest_runtest_logreport(self, report):
         for name, value in report.user_properties:
             if name == FILE:
-                self.seen[report.nodeid] = value
+                self.results[report.nodeid] = value
 
 
-@pytest.hookimpl(tryfirst=True)  # before -k and the like take tests out
+@pytest.hookimpl(tryfirst=True)  # before -k and similar options deselect tests
 def pytest_collection_modifyitems(session, config, items):
-    if session.testsfailed:  # a file that cannot be read hides its tests, and fails the run
+    if session.testsfailed:  # a file that cannot be collected hides its tests, and fails the run
         return
-    here = config.invocation_params.dir == config.rootpath
-    whole = (
-        here
+    from_root = config.invocation_params.dir == config.rootpath
+    is_full_run = (
+        from_root
         and config.args_source is not config.ArgsSource.ARGS
         and not any(config.getoption(name, None) for name in ("lf", "ignore", "ignore_glob"))
     )
     names = {item.nodeid for item in items}
     for name in config.stash[LISTED]:
-        if name not in names and (whole or not there(config.rootpath, name)):
+        if name not in names and (is_full_run or not is_defined(config.rootpath, name)):
             raise pytest.UsageError(f"{FILE}: no such test: {name}")
 
 
@@ -91,18 +94,18 @@
     listed = item.config.stash[LISTED].get(item.nodeid)
     if not listed:
         return report
-    seen = ""
+    result = ""
     if report.skipped or (report.when == "call" and report.passed):
-        seen = "was skipped" if report.skipped else "passes"
-        report.outcome, report.longrepr = "failed", f"{FILE} lists it, but it {seen}"
-        vars(report).pop("wasxfail", None)  # a mark of its own excuses nothing here
+        result = "was skipped" if report.skipped else "passes"
+        report.outcome, report.longrepr = "failed", f"{FILE} lists it, but it {result}"
+        vars(report).pop("wasxfail", None)  # its own xfail mark does not count
     elif report.when == "call" and "from pytest-timeout" not in str(call.excinfo.value):
-        seen = "failed as expected"
+        result = "failed as expected"
         report.outcome, report.wasxfail = "skipped", f"{listed[0]} (issue {listed[1]})"
     elif report.failed:
-        seen = "failed in another way"
-    if seen:
-        report.user_properties.append((FILE, seen))
+        result = "failed in another way"
+    if result:
+        report.user_properties.append((FILE, result))
     return report
 
 
@@ -110,5 +113,5 @@
     if config.stash[LISTED] and exitstatus != pytest.ExitCode.USAGE_ERROR:
         terminalreporter.section(FILE)
         for name, (cause, issue) in config.stash[LISTED].items():
-            seen = config.stash[SEEN].get(name, "not run")
-            terminalreporter.line(f"{name}: {cause} (issue {issue}): {seen}")
+            result = config.stash[RESULTS].get(name, "not run")
+            terminalreporter.line(f"{name}: {cause} (issue {issue}): {result}")
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The first start in a folder: two at once, and one after another that was stopped half way."""
+"""The first start in a new checkout: two at once, after an earlier one that was interrupted."""
 
 import shutil
 import subprocess
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A checkout that needs no library, so that nothing is fetched."""
+    """A checkout without dependencies, so that nothing is downloaded."""
     (tmp_path / "deploy").mkdir()
     (tmp_path / "ramppulley").mkdir()
     (tmp_path / "ramppulley" / "__init__.py").touch()
@@ -21,12 +21,12 @@
 
 
 def test_two_first_starts_at_once_make_one_whole_environment(folder):
-    half_made = folder / ".venv.new" / "bin"
-    half_made.mkdir(parents=True)
-    (half_made / "python").write_text("left by a start that was stopped")
+    interrupted = folder / ".venv.new" / "bin"
+    interrupted.mkdir(parents=True)
+    (interrupted / "python").write_text("left by an interrupted start")
     starts = [subprocess.Popen([folder / "deploy" / "build"], stderr=subprocess.PIPE, text=True) for _ in range(2)]
-    said = [start.communicate(timeout=50)[1] for start in starts]
-    assert [start.returncode for start in starts] == [0, 0], said
+    errors = [start.communicate(timeout=50)[1] for start in starts]
+    assert [start.returncode for start in starts] == [0, 0], errors
     subprocess.run([folder / ".venv" / "bin" / "python", "-m", "pip", "--version"], check=True, capture_output=True)
     scripts = [path.read_text() for path in (folder / ".venv" / "bin").glob("pip*")]
     assert scripts and not any(".venv.new" in script for script in scripts)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the documents name has to exist: the tests in the tables of rare moments, and the program's files."""
+"""Tests and source files that the documents name have to exist."""
 
 import re
 from pathlib import Path
@@ -16,8 +16,8 @@
     return set(re.findall(r"def (test_\w+)\(", path.read_text())) if path.exists() else set()
 
 
-def rows_of_moments(text):
-    """The cells of each row of the tables whose first column is the moment."""
+def race_table_rows(text):
+    """The cells of each row of the tables whose first column is `moment`."""
     in_table = False
     for line in text.splitlines():
         if line.startswith("| moment "):
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
 def test_each_row_of_a_moment_names_a_test(page):
-    last_cells = [cells[-1] for cells in rows_of_moments(page.read_text()) if any(cells[1:])]
+    last_cells = [cells[-1] for cells in race_table_rows(page.read_text()) if any(cells[1:])]
     assert last_cells
     assert not [cell for cell in last_cells if "test_" not in cell and "`[" not in cell]
 
@@ -48,17 +48,17 @@
 PROGRAM = ROOT / "ramppulley"
 
 
-def exists_in_the_program(name):
-    """Whether a file of the program, or of its tests, has this name, with its folders or without."""
+def is_source_file(name):
+    """Whether a file of the program or of its tests has this name, with or without its folders."""
     files = [*PROGRAM.rglob("*.py"), *(ROOT / "tests").glob("*.py")]
     return (ROOT / name).exists() or any(f"/{path.relative_to(ROOT)}".endswith(f"/{name}") for path in files)
 
 
 def unknown_source_files(text):
-    """Files that a text names and the program does not have; a text that names none has lost what is checked here."""
+    """The files that a text names and that do not exist. A text that names none fails: nothing would be checked."""
     named = SOURCE_FILE.findall(text)
     assert named
-    return [name for name in named if not exists_in_the_program(name)]
+    return [name for name in named if not is_source_file(name)]
 
 
 @pytest.mark.parametrize("page", GUIDES)
