--- a/ramppulley/cli/playing.py
+++ b/ramppulley/cli/playing.py
@@ -44,9 +44,9 @@
     return list(range(int(first), int(last) + 1)) if last else [int(seed) for seed in first.split(",")]
 
 
-def switched(word: str, from_file, when_on, when_off) -> list:
+def switched(option: str, from_file, when_on, when_off) -> list:
     """The values of a part of a scenario: as its file has it, on, off, or both in turn."""
-    return {"": [from_file], "on": [when_on], "off": [when_off], "both": [when_off, when_on]}[word]
+    return {"": [from_file], "on": [when_on], "off": [when_off], "both": [when_off, when_on]}[option]
 
 
 def variants(scenario, routers: str, subset: str, signals: str, turns: str) -> list:
@@ -54,14 +54,14 @@
     from ramppulley.load.storm import Storm
 
     sizes = [int(size) for size in routers.split(",")] if routers else [scenario.routers]
-    usual_subset = scenario.subset or Storm.model_fields["subset"].default
+    default_subset = scenario.subset or Storm.model_fields["subset"].default
     return [
         Storm.model_validate(
             scenario.model_dump()
             | {"routers": size, "subset": subset_size, "signals": with_signals, "turns": with_turns}
         )
         for size in sizes
-        for subset_size in switched(subset, scenario.subset, usual_subset, None)
+        for subset_size in switched(subset, scenario.subset, default_subset, None)
         for with_signals in switched(signals, scenario.signals, True, False)
         for with_turns in switched(turns, scenario.turns, True, False)
     ]
--- a/ramppulley/standin/demo.py
+++ b/ramppulley/standin/demo.py
@@ -7,11 +7,12 @@
 
 
 def machines(cells=2, readers=2, writers=2, pooled=2, zones=("north", "south")):
+    """Descriptions of machines: `readers` prefill and `writers` decode workers per group, and `pooled` for embeddings."""
     entries = []
     for cell in range(cells):
-        place = {"cell": f"rack{cell}", "zone": zones[cell % len(zones)], "pool": "chat", "model": CHAT}
-        entries += [{"name": f"reader-{cell}-{n}", "role": "read", **place} for n in range(readers)]
-        entries += [{"name": f"writer-{cell}-{n}", "role": "write", **place} for n in range(writers)]
+        location = {"cell": f"rack{cell}", "zone": zones[cell % len(zones)], "pool": "chat", "model": CHAT}
+        entries += [{"name": f"reader-{cell}-{n}", "role": "read", **location} for n in range(readers)]
+        entries += [{"name": f"writer-{cell}-{n}", "role": "write", **location} for n in range(writers)]
     entries += [
         {
             "name": f"pool-{n}",
--- a/ramppulley/standin/fleet.py
+++ b/ramppulley/standin/fleet.py
@@ -14,7 +14,7 @@
     """Builds engines from `machines`: dicts with name, pool, role, cell, zone, kind and model."""
 
     def __init__(self, machines, list_path, extensions=("release", "hold")):
-        self.kv_states, self.ledger, self.held, self.listed_at = KvStates(), [], [], []
+        self.yard, self.ledger, self.held, self.listed_at = KvStates(), [], [], []
         self.list_path, self.lag, self.machines = list_path, 0.0, {m["name"]: m for m in machines}
         self.states, self.started_at, self.standins, self._delayed_writes, self.births = {}, {}, {}, set(), []
         self.file_writer = ThreadPoolExecutor(1)  # one thread, so that lists are written in order
@@ -22,7 +22,7 @@
             engine = Engine(
                 machine["name"],
                 MachineKind(role=machine["role"], **machine.get("kind", {})),
-                self.kv_states,
+                self.yard,
                 cell=machine.get("cell", ""),
                 zone=machine.get("zone", ""),
             )
--- a/ramppulley/standin/links.py
+++ b/ramppulley/standin/links.py
@@ -41,6 +41,7 @@
         self.bytes, self.count, self.lost = {}, {}, {}
 
     def of(self, pair):
+        """The link of a pair, without faults unless set."""
         return self.links.get(pair, Link())
 
     def change(self, pair, **more):
--- a/ramppulley/standin/model.py
+++ b/ramppulley/standin/model.py
@@ -133,7 +133,7 @@
         for key in [key for key, state in self.kv_states.states.items() if state.engine is self]:
             del self.kv_states.states[key]
         self.born, self.down, self.held_tokens = born, False, 0
-        self.running, self.waiting, self.cached_blocks, self.reservations = [], deque(), {}, {}
+        self.running, self.waiting, self.cached_blocks, self.places = [], deque(), {}, {}
         self.step_end, self.step_prefills, self.recent_work, self.paused_to = None, [], deque(), 0
         self.blocked = False
 
@@ -145,7 +145,7 @@
         return self.kind.cold_from + (1 - self.kind.cold_from) * (now - self.born) / self.kind.cold_for
 
     def used_tokens(self):
-        return self.held_tokens + sum(j.context for j in self.running) + sum(self.reservations.values())
+        return self.held_tokens + sum(j.context for j in self.running) + sum(self.places.values())
 
     def work(self, job: Job) -> int:
         """The time that a job alone takes a warm engine."""
@@ -200,15 +200,15 @@
 
     def reserve(self, name: str, tokens: int, now: int) -> bool:
         """Reserves capacity ahead of a request: only if a slot and memory are free at once and nothing is queued."""
-        if self.down or self.waiting or len(self.running) + len(self.reservations) >= self.kind.slots:
+        if self.down or self.waiting or len(self.running) + len(self.places) >= self.kind.slots:
             return False
         if self.used_tokens() + tokens > self.kind.memory:
             return False
-        self.reservations[name] = tokens
+        self.places[name] = tokens
         return True
 
     def drop_reservation(self, name: str) -> bool:
-        return self.reservations.pop(name, None) is not None
+        return self.places.pop(name, None) is not None
 
     def cancel(self, job: Job) -> None:
         """Removes a job whose connection ended from the queue or the batch. A state that it was fetching stays held."""
@@ -252,14 +252,14 @@
     def _admit(self, now, events):
         while self.waiting and len(self.running) < self.kind.slots:
             job = self.waiting[0]
-            reserved = self.reservations.get(job.name.rpartition("-s")[0], 0)
+            reserved = self.places.get(job.name.rpartition("-s")[0], 0)
             if self.used_tokens() - reserved + job.context + 1 > self.kind.memory and (
                 self.running or self.held_tokens
             ):
                 break
             self.waiting.popleft()
             if reserved:
-                del self.reservations[job.name.rpartition("-s")[0]]
+                del self.places[job.name.rpartition("-s")[0]]
                 self.on_taken(job.name.rpartition("-s")[0], now)
             if job.state_key and job.remaining_tokens is None:
                 job.state_ready_at = self.kv_states.transfer(job.state_key, self, now)
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -58,7 +58,7 @@
 
 
 def jealous():
-    """Of two members with the same name it accepts only the one that it heard of last."""
+    """Of two members with the same name it accepts only the one that it heard from last."""
     check_sequence = seal.Seal._numbered
 
     def only_last(self, head):
@@ -100,7 +100,7 @@
 
 def trustful():
     """Does not compare peer reports with its own load reports."""
-    signals.Signals.saw = lambda self, now, mark, waiting, ours: None
+    signals.Signals.saw = lambda self, now, endpoint_id, waiting, ours: None
 
 
 def ageless():
@@ -110,7 +110,7 @@
 
 def gullible():
     """Uses the load that peers report without a bound."""
-    rules.blended = lambda own, told, part, most: told
+    rules.blended = lambda own, reported, share, max_value: reported
 
 
 def careless():
--- a/ramppulley/standin/server/pump.py
+++ b/ramppulley/standin/server/pump.py
@@ -40,11 +40,11 @@
         return queue
 
     def unsubscribe(self, job: Job) -> None:
-        """Nobody waits for this job any more."""
+        """Drops the queue of a job that is no longer awaited."""
         self._queues.pop(job, None)
 
     def unsubscribe_all(self) -> None:
-        """Nobody waits for any job any more."""
+        """Drops the queues of all jobs."""
         self._queues.clear()
 
     async def _run(self) -> None:
@@ -61,7 +61,7 @@
             queue = self._queues.get(event.job)
             if queue is not None:
                 queue.put_nowait(event)
-            elif event.what == "read" and event.job is not None:  # nobody waits for its KV state any more
+            elif event.what == "read" and event.job is not None:  # its KV state is no longer awaited
                 self._engine.held_tokens -= event.job.prompt_tokens
 
     async def _wait(self, now: int) -> None:
