--- a/ramppulley/load/__init__.py
+++ b/ramppulley/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiments: days, clients, baselines, benchmarks."""
+"""Load tests: scenarios, fault injection, clients, baseline policies, benchmarks."""
--- a/ramppulley/load/baselines.py
+++ b/ramppulley/load/baselines.py
@@ -1,6 +1,6 @@
-"""Policies to measure against: they keep the rules in the plainest way and choose at random, or the least loaded.
+"""Baseline policies for comparison: they follow the same rules in a simple way and choose at random or by least load.
 
-The same events as `rules.Router`; nothing of the module is in them. They are never served to anyone.
+They receive the same events as `rules.Router` and share no code with it. They are for measurements only, not for production.
 """
 
 from random import Random
@@ -8,108 +8,113 @@
 
 from ramppulley import door
 
-MARGIN = 300  # answers this long before the client leaves, in tenths of a millisecond
+DEADLINE_MARGIN = 300  # the final answer is due this long before the client's deadline, in tenths of a millisecond
 
 
 class Baseline:
-    """One question's life: a reader, then a writer; a failure that proves that nothing ran, or a pure question, is
-    tried elsewhere; else scrapped."""
+    """Sends each request to a prefill worker, then to a decode worker. An attempt that never ran, or that failed on a
+    request that is safe to repeat, is retried elsewhere; otherwise the request fails."""
 
     def __init__(self, host, *, seed, routers, zone, use_cases, accounts, permits, lawbook, now=0):
-        self.host, self.permits, self.lawbook, self.routers = host, permits, lawbook, routers
-        self.chance, self.workers, self.requests, self.next_cold = Random(seed), {}, {}, {}
+        self.host, self.capabilities, self.policy_settings, self.routers = host, permits, lawbook, routers
+        self.rng, self.workers, self.requests, self.next_warming_at = Random(seed), {}, {}, {}
 
-    def key(self, endpoint):
+    def choose(self, endpoint):
         raise NotImplementedError
 
     def listed(self, now, endpoints):
         for endpoint in endpoints:
-            worker = self.workers.setdefault(endpoint, SimpleNamespace(endpoint=endpoint, out=0, state="", report=None))
+            worker = self.workers.setdefault(
+                endpoint, SimpleNamespace(endpoint=endpoint, open_attempts=0, state="", report=None)
+            )
             worker.state = endpoint.state
 
     def arrived(self, now, view):
         request = self.requests[view] = SimpleNamespace(
             view=view,
-            leaves=now + view.patience - MARGIN,
-            sends=[],
-            out=None,
-            state=False,
+            deadline=now + view.patience - DEADLINE_MARGIN,
+            attempts=[],
+            open_attempt=None,
+            has_kv_state=False,
             tried=set(),
-            ran=False,
-            streams=False,
+            may_have_run=False,
+            streaming=False,
             closed=False,
         )
-        self.host.remind(max(1, view.patience - MARGIN), request)
-        self.go(now, request)
+        self.host.remind(max(1, view.patience - DEADLINE_MARGIN), request)
+        self.start_attempt(now, request)
 
-    def usable(self, now, request, roles):
-        law = self.lawbook
+    def usable_endpoints(self, now, request, roles):
+        settings = self.policy_settings
         for endpoint, worker in self.workers.items():
-            cold = endpoint.born is not None and now - endpoint.born < law.cold_for
+            warming = endpoint.born is not None and now - endpoint.born < settings.cold_for
             if (
                 worker.state == "ready"
                 and endpoint.role in roles
-                and not (cold and now < self.next_cold.get(endpoint, 0))
+                and not (warming and now < self.next_warming_at.get(endpoint, 0))
             ):
                 yield endpoint
 
-    def go(self, now, request):
-        if len(request.sends) >= self.permits.sends or now >= request.leaves:
+    def start_attempt(self, now, request):
+        if len(request.attempts) >= self.capabilities.sends or now >= request.deadline:
             return self.give_up(now, request)
-        readers = any(endpoint.role == "read" for endpoint in self.workers)
-        roles = ("write", "both") if request.state or not readers else ("read",)
-        endpoints = sorted(self.usable(now, request, roles), key=lambda b: b.mark)
-        fresh = [endpoint for endpoint in endpoints if endpoint not in request.tried] or endpoints
-        if not fresh:
+        has_prefill_workers = any(endpoint.role == "read" for endpoint in self.workers)
+        roles = ("write", "both") if request.has_kv_state or not has_prefill_workers else ("read",)
+        endpoints = sorted(self.usable_endpoints(now, request, roles), key=lambda endpoint: endpoint.mark)
+        candidates = [endpoint for endpoint in endpoints if endpoint not in request.tried] or endpoints
+        if not candidates:
             return self.give_up(now, request)
-        endpoint = self.key(fresh)
+        endpoint = self.choose(candidates)
         if endpoint.born is not None:
-            self.next_cold[endpoint] = now + self.lawbook.cold_window * self.routers // 4
-        attempt = SimpleNamespace(request=request, endpoint=endpoint, is_prefill=endpoint.role == "read", first=None)
-        request.sends.append(attempt)
-        request.out = attempt
-        self.workers[endpoint].out += 1
-        self.host.send(request.view, endpoint, max(1, request.leaves - now), attempt)
+            self.next_warming_at[endpoint] = now + self.policy_settings.cold_window * self.routers // 4
+        attempt = SimpleNamespace(
+            request=request, endpoint=endpoint, is_prefill=endpoint.role == "read", first_token_at=None
+        )
+        request.attempts.append(attempt)
+        request.open_attempt = attempt
+        self.workers[endpoint].open_attempts += 1
+        self.host.send(request.view, endpoint, max(1, request.deadline - now), attempt)
 
     def first_token(self, now, view, attempt):
-        attempt.request.streams, attempt.request.state = True, False
+        attempt.request.streaming, attempt.request.has_kv_state = True, False
 
     def outcome(self, now, view, attempt, outcome, final, kept, report):
         request, worker = attempt.request, self.workers[attempt.endpoint]
-        worker.out -= 1
+        worker.open_attempts -= 1
         worker.report = report or worker.report
-        request.out = None
+        request.open_attempt = None
         if final or request.closed:
-            return self.end(request)
+            return self.release(request)
         if outcome == door.READ:
-            request.state = True
+            request.has_kv_state = True
         else:
             request.tried.add(attempt.endpoint)
             if outcome == door.NO_STATE:
-                request.state = False
+                request.has_kv_state = False
             if not attempt.is_prefill and outcome not in door.NEVER_RAN:
-                request.ran = True
-        if request.streams or (request.ran and view.use_case.effect != "pure"):
+                request.may_have_run = True
+        if request.streaming or (request.may_have_run and view.use_case.effect != "pure"):
             return self.give_up(now, request)
-        self.go(now, request)
+        self.start_attempt(now, request)
 
     def give_up(self, now, request):
+        """Rejects the request if a retry by the client is safe, else fails it."""
         view = request.view
-        out_writes = request.out is not None and not request.out.is_prefill
-        if view.use_case.effect == "pure" or not (request.ran or out_writes):
-            self.host.turn_back(view, min(self.permits.longest_wait, view.use_case.promised // 2))
+        decode_open = request.open_attempt is not None and not request.open_attempt.is_prefill
+        if view.use_case.effect == "pure" or not (request.may_have_run or decode_open):
+            self.host.turn_back(view, min(self.capabilities.longest_wait, view.use_case.promised // 2))
         else:
             self.host.scrap(view)
         self.close(request)
 
     def close(self, request):
         request.closed = True
-        if request.out is not None:
-            self.host.withdraw(request.view, request.out)
+        if request.open_attempt is not None:
+            self.host.withdraw(request.view, request.open_attempt)
         else:
-            self.end(request)
+            self.release(request)
 
-    def end(self, request):
+    def release(self, request):
         request.closed = True
         self.host.let_go(request.view)
         self.requests.pop(request.view, None)
@@ -119,7 +124,7 @@
             self.close(self.requests[view])
 
     def reminded(self, now, request):
-        if not request.closed and not request.streams:
+        if not request.closed and not request.streaming:
             self.give_up(now, request)
 
     def place(self, now, view, endpoint, held):
@@ -132,25 +137,25 @@
 class RandomChoice(Baseline):
     """Any ready worker."""
 
-    def key(self, endpoints):
-        return self.chance.choice(endpoints)
+    def choose(self, endpoints):
+        return self.rng.choice(endpoints)
 
 
 class LeastLoaded(Baseline):
-    """The worker with the fewest of our own sends and the least reported."""
+    """The worker with the lowest sum of this router's open attempts and the load that the worker reported."""
 
-    def key(self, endpoints):
+    def choose(self, endpoints):
         def load(endpoint):
             worker = self.workers[endpoint]
-            return worker.out + (worker.report.held or 0 if worker.report else 0), self.chance.random()
+            return worker.open_attempts + (worker.report.held or 0 if worker.report else 0), self.rng.random()
 
         return min(endpoints, key=load)
 
 
-def _module(*args, **named):
+def _router(*args, **named):
     from ramppulley.rules import Router
 
     return Router(*args, **named)
 
 
-POLICIES = {"module": _module, "random": RandomChoice, "least": LeastLoaded}
+POLICIES = {"module": _router, "random": RandomChoice, "least": LeastLoaded}
--- a/ramppulley/load/beat.py
+++ b/ramppulley/load/beat.py
@@ -1,18 +1,20 @@
-"""Whether a process of the rig itself went on: what it did not do in time must not be laid to a router's account."""
+"""Detects stalls of the test processes themselves, so that a delay of the test rig is not blamed on a router."""
 
 import asyncio
 import time
 
-S = 10_000
-EVERY, LATE = 0.005, 0.02  # seconds between two beats; later than that, the process stood still
-LOOK, WAITED = 0.05, 0.01  # seconds between two looks at a process's waiting; less in one says nothing
+S = 10_000  # tenths of a millisecond in a second
+BEAT_INTERVAL_S = 0.005
+MAX_LATENESS_S = 0.02  # a beat that is later than this counts as a stall of the process
+POLL_INTERVAL_S = 0.05  # between two readings of a process's scheduling delay
+MIN_DELAY_S = 0.01  # a shorter scheduling delay within one interval is ignored
 
 
-class Beat:
-    """`stood`: spans in which this process's loop did not turn, in tenths of a millisecond of the monotonic clock."""
+class EventLoopMonitor:
+    """`stalls`: spans in which this process's event loop did not run, in tenths of a millisecond of the monotonic clock."""
 
     def __init__(self):
-        self.stood, self.task = [], None
+        self.stalls, self.task = [], None
 
     def start(self):
         self.task = asyncio.get_running_loop().create_task(self._beat())
@@ -21,10 +23,10 @@
     async def _beat(self):
         before = time.monotonic()
         while True:
-            await asyncio.sleep(EVERY)
+            await asyncio.sleep(BEAT_INTERVAL_S)
             now = time.monotonic()
-            if now - before > EVERY + LATE:
-                self.stood.append((int((before + EVERY) * S), int(now * S)))
+            if now - before > BEAT_INTERVAL_S + MAX_LATENESS_S:
+                self.stalls.append((int((before + BEAT_INTERVAL_S) * S), int(now * S)))
             before = now
 
     async def stop(self):
@@ -33,8 +35,8 @@
             await asyncio.gather(self.task, return_exceptions=True)
 
 
-def waited(pid):
-    """`starved`: (number, from, to) of processes that waited for a processor. `pids()` gives {number: pid} now."""
+def scheduling_delay_s(pid):
+    """The total time for which a process was ready to run and had no processor; None where the system does not report it."""
     try:
         with open(f"/proc/{pid}/schedstat") as file:
             return int(file.read().split()[1]) / 1e9
@@ -42,26 +44,31 @@
         return None
 
 
-class Starving:
-    """`starved`: (number, from, to) of processes that waited for a processor. `pids()` gives {number: pid} as they are."""
+class CpuStarvationMonitor:
+    """`starved`: (number, from, to) of processes that waited for a processor. `pids()` returns the current {number: pid}."""
 
     def __init__(self, pids):
         self.pids, self.starved, self.task = pids, [], None
 
     def start(self):
-        self.task = asyncio.get_running_loop().create_task(self._look())
+        self.task = asyncio.get_running_loop().create_task(self._poll())
         return self
 
-    async def _look(self):
-        before = {}
+    async def _poll(self):
+        previous = {}
         while True:
             for number, pid in self.pids().items():
-                now, told = time.monotonic(), waited(pid)
-                at, last, same = before.get(number, (now, told, pid))
-                if told is not None and last is not None and same == pid and told - last > WAITED:
-                    self.starved.append((number, int(max(at, now - (told - last)) * S), int(now * S)))
-                before[number] = now, told, pid
-            await asyncio.sleep(LOOK)
+                now, delay = time.monotonic(), scheduling_delay_s(pid)
+                last_now, last_delay, last_pid = previous.get(number, (now, delay, pid))
+                if (
+                    delay is not None
+                    and last_delay is not None
+                    and last_pid == pid
+                    and delay - last_delay > MIN_DELAY_S
+                ):
+                    self.starved.append((number, int(max(last_now, now - (delay - last_delay)) * S), int(now * S)))
+                previous[number] = now, delay, pid
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def stop(self):
         if self.task:
--- a/ramppulley/load/client.py
+++ b/ramppulley/load/client.py
@@ -1,4 +1,4 @@
-"""A client of the HTTP API for load: one question, and what crossed its socket. Not a library for users."""
+"""A client of the HTTP API for load tests: sends one request and records what it received. Not a library for users."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 
 @dataclass
 class Reply:
-    """What came back. Times: seconds on the machine's monotonic clock."""
+    """What the client received. Times: seconds on the machine's monotonic clock."""
 
     status: int = 0
     headers: dict = field(default_factory=dict)
@@ -22,23 +22,26 @@
     sent: float = 0.0
     first: float | None = None
     ended: float = 0.0
-    done: bool = False  # a whole answer: a stream with its [DONE], or all of its length
-    fault: str = ""  # refused, reset, cut, gave up
+    done: bool = False  # a complete response: a stream up to its [DONE], or a body of full length
+    fault: str = (
+        ""  # empty, or what went wrong: "cut", "gave up", "error event", "bad answer: ..." or the name of an OSError
+    )
 
     def json(self):
         return msgspec.json.decode(self.body)
 
     def text(self):
-        """The answer's text, of a chat or completion, streamed or whole."""
+        """The text of a chat or completion response, streamed or not."""
         if self.events:
-            choices = [c for e in self.events for c in msgspec.json.decode(e).get("choices", [])]
+            choices = [c for event in self.events for c in msgspec.json.decode(event).get("choices", [])]
             return "".join(c["delta"].get("content") or "" if "delta" in c else c.get("text", "") for c in choices)
         choice = self.json()["choices"][0]
         return choice["message"]["content"] if "message" in choice else choice["text"]
 
 
-def _last_look(transport, parser, reply):
-    """An answer that had crossed the socket when time ran out came in time, though this busy process had not read it."""
+def _read_remainder(transport, parser, reply):
+    """Reads a response that was already in the socket buffer at the timeout: it came in time, this process was only too busy
+    to read it."""
     try:
         while not parser.done:
             data = transport.sock.recv(1 << 16)
@@ -56,7 +59,7 @@
     )
 
 
-async def ask(  # noqa: C901 - one branch a way in which a client misbehaves
+async def ask(  # noqa: C901 - one branch for each way in which a client misbehaves
     host,
     port,
     path,
@@ -69,22 +72,25 @@
     gap=0.0,
     after_first=0.0,
 ):
-    """One question on a connection of its own, or on `transport`, which is then left open. Never raises for what the
-    other side does; `read_slowly`: seconds between reads, `gap`: before the first one;
-    `after_first`: seconds that a stream may go on once it has begun, in place of `patience`.
+    """Sends one request on a connection of its own, or on `transport`, which then stays open. Never raises because of what
+    the server does. `patience`: timeout in seconds from the end of the send; `read_slowly`: seconds between reads; `gap`:
+    seconds before the first read; `after_first`: timeout in seconds that replaces `patience` at the first stream event.
     """
-    loop, reply, own, parser = asyncio.get_running_loop(), Reply(), transport is None, None
+    loop, reply, owns_transport, parser = asyncio.get_running_loop(), Reply(), transport is None, None
     reply.sent, splitter = time.monotonic(), sse.Splitter(4 << 20)
-    raw = b"" if body is None else body if isinstance(body, bytes) else msgspec.json.encode(body)
+    payload = b"" if body is None else body if isinstance(body, bytes) else msgspec.json.encode(body)
     try:
-        async with asyncio.timeout(patience) as limit:
+        async with asyncio.timeout(patience) as timeout:
             transport = transport or await connect(host, port, patience)
             await transport.send(
                 http.request(
-                    method, path, {"host": f"{host}:{port}", "content-type": "application/json", **(headers or {})}, raw
+                    method,
+                    path,
+                    {"host": f"{host}:{port}", "content-type": "application/json", **(headers or {})},
+                    payload,
                 )
             )
-            limit.reschedule(loop.time() + patience)  # patience begins when the question was written
+            timeout.reschedule(loop.time() + patience)  # the timeout starts when the request has been written
             if gap:
                 await asyncio.sleep(gap)
             parser = http.AnswerParser(256 << 20)
@@ -101,7 +107,7 @@
                         if reply.first is None:
                             reply.first = time.monotonic()
                             if after_first:
-                                limit.reschedule(loop.time() + after_first)
+                                timeout.reschedule(loop.time() + after_first)
                         if event == sse.DONE:
                             reply.done = True
                         elif event.startswith(b'{"error"'):
@@ -117,13 +123,13 @@
     except TimeoutError:
         reply.fault = "gave up"
         if parser is not None and not reply.events:
-            _last_look(transport, parser, reply)
-    except BadMessage as fault:
-        reply.fault = f"bad answer: {fault}"
-    except OSError as fault:
-        reply.fault = f"{type(fault).__name__}"
+            _read_remainder(transport, parser, reply)
+    except BadMessage as error:
+        reply.fault = f"bad answer: {error}"
+    except OSError as error:
+        reply.fault = f"{type(error).__name__}"
     finally:
         reply.ended = time.monotonic()
-        if transport is not None and (own or not reply.done):
+        if transport is not None and (owns_transport or not reply.done):
             transport.close()
     return reply
--- a/ramppulley/load/day.py
+++ b/ramppulley/load/day.py
@@ -1,6 +1,7 @@
-"""A day: what a JSON5 file says of fleet, arrivals and troubles, and the arrivals drawn from it. Pure; one seed, one day.
+"""A scenario: a JSON5 file that describes the fleet, the arrivals and the faults, and the arrivals drawn from it.
 
-Times are seconds from the day's start; lengths are tokens as the stand-ins count them.
+No I/O; the same seed gives the same scenario. Times are seconds from the start; lengths are tokens as the stand-ins count
+them.
 """
 
 import math
@@ -47,12 +48,13 @@
 ]
 
 
-class Part(BaseModel):
+class ScenarioModel(BaseModel):
     model_config = ConfigDict(extra="forbid")
 
 
-class Fleet(Part):
-    """Engines of a day: cells with readers and writers, and pooled ones. `kinds`: fields of the engine model."""
+class Fleet(ScenarioModel):
+    """Engines of a scenario: groups (`cells`) of prefill workers (`readers`) and decode workers (`writers`), and mixed
+    workers (`pooled`). `kinds`: fields of the engine model, by role."""
 
     cells: int = Field(2, ge=1, le=16)
     readers: int = Field(2, ge=0, le=16)
@@ -63,29 +65,29 @@
     list_lag_s: float = Field(0.3, ge=0)
 
 
-class Stream(Part):
-    """One kind of question."""
+class Stream(ScenarioModel):
+    """One stream of requests of the same kind."""
 
     kind: Literal["chat", "embeddings", "rerank"] = "chat"
     use_case: str = "afloat"
     per_s: float = Field(gt=0, le=500)
-    prompt: tuple[int, int] = (100, 900)  # its own tokens; items together for embeddings and rerank
+    prompt: tuple[int, int] = (100, 900)  # without the shared prefix; of all items together for embeddings and rerank
     answer: tuple[int, int] = (10, 60)
     items: tuple[int, int] = (4, 16)
-    beginnings: int = Field(8, ge=0)  # shared beginnings; 0 = none
-    beginning: int = 400  # tokens of each
-    turns: float = Field(2.0, ge=1)  # mean turns of a session
-    whole: float = Field(0.2, ge=0, le=1)  # part that wants no stream
+    beginnings: int = Field(8, ge=0)  # number of shared prefixes; 0 = none
+    beginning: int = 400  # tokens of each prefix
+    turns: float = Field(2.0, ge=1)  # mean number of turns of a session
+    whole: float = Field(0.2, ge=0, le=1)  # share of requests without streaming
     account: str = ""
-    patience_s: float | None = None  # told by the header; else the use case's outer limit
-    impatient: float = Field(0.0, ge=0, le=1)  # part that leaves early, untold
+    patience_s: float | None = None  # sent in the deadline header; by default the deadline of the request class
+    impatient: float = Field(0.0, ge=0, le=1)  # share of clients that disconnect before their deadline
     receipts: bool = False
     from_s: float = 0.0
     to_s: float | None = None
 
 
-class Trouble(Part):
-    """What goes wrong. `who`: names of workers by shell pattern, or a part of a role."""
+class Trouble(ScenarioModel):
+    """A fault of engines, arrivals or routers. `who`: a shell pattern of worker names, of which `count` are drawn."""
 
     what: Literal[
         "crash",
@@ -116,8 +118,8 @@
     account: str = ""
 
 
-class Day(Part):
-    """The whole file."""
+class Day(ScenarioModel):
+    """A scenario file."""
 
     name: str
     about: str = ""
@@ -132,29 +134,29 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One question as its client will send it."""
+    """One request as its client will send it."""
 
     name: str
     at: float
     kind: str
-    use_case: str
+    request_class: str
     session: str
-    account: str
-    prompt: int
-    answer: int
-    beginning: str = ""
-    beginning_tokens: int = 0
+    tenant: str
+    prompt_tokens: int
+    max_tokens: int
+    prefix: str = ""
+    prefix_tokens: int = 0
     turn: int = 0
     items: int = 1
-    whole: bool = False
-    patience: float | None = None
-    leaves: float | None = None  # goes away after this, whatever it told
-    receipt: str = ""
-    router: float = 0.0  # 0 to 1: which of the routers
+    whole: bool = False  # no streaming
+    deadline_s: float | None = None
+    leaves_after_s: float | None = None  # disconnects after this time, whatever its deadline
+    idempotency_key: str = ""
+    router: float = 0.0  # 0 to 1: position in the list of routers
 
 
-def rate_of(day, stream, at):
-    """Questions a second of a stream at a time, with the day's bursts and floods."""
+def arrival_rate(day, stream, at):
+    """Requests per second of a stream at a time, including the scenario's bursts and floods."""
     if not stream.from_s <= at < (stream.to_s if stream.to_s is not None else day.length_s):
         return 0.0
     rate = stream.per_s
@@ -167,43 +169,43 @@
 
 
 def arrivals(day):
-    """All arrivals of a day, in order of time; the same for the same day and seed.
+    """All arrivals of a scenario, in order of time; the same for the same scenario and seed.
 
     >>> day = Day(name="d", length_s=5, streams=[Stream(per_s=20)])
     >>> plan = arrivals(day)
     >>> plan == arrivals(day), 50 < len(plan) < 150, plan == sorted(plan, key=lambda a: a.at)
     (True, True, True)
     """
-    found = []
+    drawn = []
     for number, stream in enumerate(day.streams):
-        chance = Random(f"{day.seed} {number}")
+        rng = Random(f"{day.seed} {number}")
         peak = stream.per_s * math.prod(max(1.0, t.size) for t in day.troubles if t.what in ("burst", "flood"))
-        at, sessions = 0.0, 0
-        open_ones = []  # (session, beginning, turn, tokens so far)
-        while (at := at + chance.expovariate(peak)) < day.length_s:
-            if chance.random() * peak >= rate_of(day, stream, at):
+        at, session_count = 0.0, 0
+        open_sessions = []  # (session, prefix, next turn, tokens so far)
+        while (at := at + rng.expovariate(peak)) < day.length_s:
+            if rng.random() * peak >= arrival_rate(day, stream, at):
                 continue
             hot = any(
-                t.what == "hot_beginning" and t.at_s <= at < t.at_s + t.for_s and chance.random() < t.size
+                t.what == "hot_beginning" and t.at_s <= at < t.at_s + t.for_s and rng.random() < t.size
                 for t in day.troubles
             )
-            if open_ones and not hot and chance.random() < 1 - 1 / stream.turns:
-                session, beginning, turn, so_far = open_ones.pop(chance.randrange(len(open_ones)))
+            if open_sessions and not hot and rng.random() < 1 - 1 / stream.turns:
+                session, prefix, turn, context_tokens = open_sessions.pop(rng.randrange(len(open_sessions)))
             else:
-                sessions += 1
-                session, turn, so_far = f"s{number}-{sessions}", 0, 0
-                beginning = (
+                session_count += 1
+                session, turn, context_tokens = f"s{number}-{session_count}", 0, 0
+                prefix = (
                     "hot"
                     if hot
-                    else f"b{number}-{int(stream.beginnings * chance.random() ** 2)}"
+                    else f"b{number}-{int(stream.beginnings * rng.random() ** 2)}"
                     if stream.beginnings
                     else ""
                 )
-            own = int(math.exp(chance.uniform(*map(math.log, stream.prompt))))
-            answer = int(math.exp(chance.uniform(*map(math.log, stream.answer))))
-            early = chance.random() < stream.impatient
-            name = f"{number}q{len(found)}"
-            found.append(
+            new_tokens = int(math.exp(rng.uniform(*map(math.log, stream.prompt))))
+            max_tokens = int(math.exp(rng.uniform(*map(math.log, stream.answer))))
+            leaves_early = rng.random() < stream.impatient
+            name = f"{number}q{len(drawn)}"
+            drawn.append(
                 Arrival(
                     name,
                     at,
@@ -211,51 +213,51 @@
                     stream.use_case,
                     session,
                     stream.account,
-                    so_far + own,
-                    answer,
-                    beginning,
-                    (3000 if beginning == "hot" else stream.beginning) if beginning else 0,
+                    context_tokens + new_tokens,
+                    max_tokens,
+                    prefix,
+                    (3000 if prefix == "hot" else stream.beginning) if prefix else 0,
                     turn,
-                    chance.randint(*stream.items),
-                    chance.random() < stream.whole,
+                    rng.randint(*stream.items),
+                    rng.random() < stream.whole,
                     stream.patience_s,
-                    chance.uniform(0.02, 1.0) if early else None,
+                    rng.uniform(0.02, 1.0) if leaves_early else None,
                     f"receipt-{day.seed}-{name}" if stream.receipts else "",
-                    chance.random(),
+                    rng.random(),
                 )
             )
-            if stream.kind == "chat" and len(open_ones) < 200:
-                open_ones.append((session, beginning, turn + 1, so_far + own + answer))
-    return sorted(found, key=lambda a: a.at)
+            if stream.kind == "chat" and len(open_sessions) < 200:
+                open_sessions.append((session, prefix, turn + 1, context_tokens + new_tokens + max_tokens))
+    return sorted(drawn, key=lambda a: a.at)
 
 
 def text(seed, tokens):
-    """A text of so many tokens, fixed by its seed."""
-    chance, size, words = Random(seed), int(tokens * BYTES_A_TOKEN), []
+    """A text with this many tokens, determined by the seed."""
+    rng, size, words = Random(seed), int(tokens * BYTES_A_TOKEN), []
     length = 0
     while length < size:
-        words.append(chance.choice(WORDS))
+        words.append(rng.choice(WORDS))
         length += len(words[-1]) + 1
     return " ".join(words)[: max(1, size)]
 
 
-def body_of(arrival, models):
-    """(path, body) of an arrival; a session's later turns repeat what came before."""
+def path_and_body(arrival, models):
+    """(path, body) of an arrival. Later turns of a session repeat its earlier prompt."""
     if arrival.kind == "chat":
         messages = []
-        if arrival.beginning:
-            messages.append({"role": "system", "content": text(arrival.beginning, arrival.beginning_tokens)})
-        messages.append({"role": "user", "content": text(arrival.session, arrival.prompt)})
+        if arrival.prefix:
+            messages.append({"role": "system", "content": text(arrival.prefix, arrival.prefix_tokens)})
+        messages.append({"role": "user", "content": text(arrival.session, arrival.prompt_tokens)})
         body = {
             "model": models["chat"],
             "messages": messages,
-            "max_tokens": arrival.answer,
+            "max_tokens": arrival.max_tokens,
             "stream": not arrival.whole,
         }
-        if arrival.account:
-            body["user"] = arrival.account
+        if arrival.tenant:
+            body["user"] = arrival.tenant
         return "/v1/chat/completions", body
-    items = [text(f"{arrival.name}{i}", max(1, arrival.prompt // arrival.items)) for i in range(arrival.items)]
+    items = [text(f"{arrival.name}{i}", max(1, arrival.prompt_tokens // arrival.items)) for i in range(arrival.items)]
     if arrival.kind == "embeddings":
         return "/v1/embeddings", {"model": models["vectors"], "input": items}
     return "/v1/rerank", {"model": models["vectors"], "query": text(arrival.name, 8), "documents": items, "top_n": 3}
--- a/ramppulley/load/evidence.py
+++ b/ramppulley/load/evidence.py
@@ -1,4 +1,4 @@
-"""The end of a run: what is held is given time to be released, and the evidence is gathered from all who saw it."""
+"""The end of a run: waits until KV states and reservations are released, and gathers the evidence of all observers."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 RELEASE_TIMEOUT_S = 1.0
 RELEASE_POLL_S = 0.02
 MAX_ATTEMPTS = 4
-NEVER = 1 << 62  # the end of a span that has not ended
+NEVER = 1 << 62  # end of a span that is still open
 
 
 async def wait_for_releases(fleet, within=RELEASE_TIMEOUT_S):
-    """What is held is released in this time, or it is a breach."""
+    """Waits this long at most; a KV state or reservation that is still held then is a breach."""
     loop = asyncio.get_running_loop()
     limit = loop.time() + within
     while loop.time() < limit and fleet.open_held():
@@ -22,15 +22,15 @@
 
 
 async def stop_fleet(fleet):
-    """Stops the stand-ins; what was still held then was never released."""
-    open_at_end = [held for held in fleet.held if held.until is None]
+    """Stops the stand-ins; whatever is still held at that time counts as never released."""
+    never_released = [held for held in fleet.held if held.until is None]
     await fleet.stop()
-    for held in open_at_end:
+    for held in never_released:
         held.until, held.how = None, ""
 
 
-def gather_evidence(requests, fleet, routers, beat, settings, starvation):
-    """The evidence of a run that has ended. `settings`: of any of its routers."""
+def gather_evidence(requests, fleet, routers, event_loop, settings, starvation):
+    """The evidence of a run that has ended. `settings`: those of any router of the run."""
     rules = demo_orders(**settings).rules
     return Evidence(
         asked=requests,
@@ -45,7 +45,7 @@
         unreachable=_unreachable_spans(fleet),
         away=[(router.number, since, until) for router in routers for since, until in router.away],
         starved=starvation.starved,
-        stood=beat.stood,
+        stood=event_loop.stalls,
         drain_grace=int(rules.drain_grace_s * S),
         let_go_within=int(rules.let_go_within_s * S),
         sends=MAX_ATTEMPTS,
--- a/ramppulley/load/ports.py
+++ b/ramppulley/load/ports.py
@@ -1,4 +1,4 @@
-"""Ports for routers that come and go during a run."""
+"""Ports for routers that are stopped and restarted during a run."""
 
 import socket
 
@@ -6,9 +6,9 @@
 
 
 def reserve_port(kind: int = socket.SOCK_STREAM) -> socket.socket:
-    """A socket bound to a free port that nobody else is given while it is open: only who names the port may listen there.
+    """A socket bound to a free port. While it is open, only a program that names the port explicitly can listen there.
 
-    A port that was free a moment ago may be any outgoing connection's by the time that a program binds it.
+    Without the reservation the kernel could give the port to an outgoing connection before the program binds it.
     """
     sock = socket.socket(socket.AF_INET, kind)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ramppulley/load/routers.py
+++ b/ramppulley/load/routers.py
@@ -20,12 +20,12 @@
 
 
 def router_number(settings):
-    """The number in a router's name."""
+    """The number in a router's name, as in `r3`."""
     return int(settings["name"][1:])
 
 
 class TaskRouter:
-    """A router in this process; `make` builds its decision module."""
+    """A router in this process; `make` builds its routing policy."""
 
     process = None
     killed_at = ()
@@ -39,17 +39,17 @@
         self.number = router_number(settings)
 
     async def start(self):
-        """Starts it on a free port."""
+        """Starts the router on a free port."""
         self.daemon = await Daemon(demo_orders(**self.settings), self.log, self.folder, self.make).start()
         self.port = self.daemon.front.port
 
     async def stop(self):
-        """Drains and stops it."""
+        """Drains and stops the router."""
         await self.daemon.stop()
 
 
 class ProcessRouter:
-    """A router in a process of its own, on one port through all its restarts.
+    """A router in a process of its own; it keeps its port across restarts.
 
     `killed_at`: when it was killed; `away`: spans in which its process did not run. Tenths of a millisecond.
     """
@@ -100,15 +100,15 @@
         return (self.folder / f"{self.name}.log").read_text()[-LOG_TAIL_CHARACTERS:]
 
     async def kill(self):
-        """Ends the process at once."""
+        """Kills the process without a drain."""
         at = int(time.monotonic() * S)
         self.killed_at.append(at)
         self.process.kill()
-        await self.process.wait()  # on a busy machine its sockets take connections until then
+        await self.process.wait()  # on a busy machine its sockets accept connections until it has exited
         self.away.append((at, int(time.monotonic() * S)))
 
     async def stop(self):
-        """Asks the process to stop, and ends it if it takes too long."""
+        """Asks the process to stop and kills it if it does not stop in time."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
             try:
--- a/ramppulley/load/run.py
+++ b/ramppulley/load/run.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on loopback: stand-ins, routers and clients; the evidence comes from what crossed the sockets."""
+"""Runs a scenario on loopback with stand-ins, routers and clients. The evidence is what crossed the sockets."""
 
 import asyncio
 import gc
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from ramppulley.load.beat import Beat, Starving
+from ramppulley.load.beat import CpuStarvationMonitor, EventLoopMonitor
 from ramppulley.load.day import arrivals
 from ramppulley.load.evidence import gather_evidence, stop_fleet, wait_for_releases
 from ramppulley.load.requests import send_arrival
@@ -18,7 +18,7 @@
 
 
 async def play(day, log, policy="module", make=None, progress=lambda text: None, folder=None):
-    """The evidence of one scenario. With `make` the routers run in this process, else each in one of its own."""
+    """Runs one scenario and returns its evidence. With `make` the routers run in this process, else each in its own."""
     with _run_folder(folder) as path:
         plan = arrivals(day)
         fleet = await scenario_fleet(day, path / "workers.json5").start()
@@ -30,7 +30,7 @@
             routers = [ProcessRouter(each, path, policy) for each in settings]
         run = ScenarioRun(day, plan, fleet, routers, progress)
         await run.run(policy)
-    return gather_evidence(run.requests, fleet, routers, run.beat, settings[0], run.starvation)
+    return gather_evidence(run.requests, fleet, routers, run.event_loop, settings[0], run.starvation)
 
 
 @contextmanager
@@ -53,8 +53,8 @@
         self.routers = routers
         self.progress = progress
         self.requests = []
-        self.beat = Beat()
-        self.starvation = Starving(self._router_pids)
+        self.event_loop = EventLoopMonitor()
+        self.starvation = CpuStarvationMonitor(self._router_pids)
         self._tasks = []
         self._start = 0.0  # on the event loop's clock
 
@@ -62,7 +62,7 @@
         return {router.number: router.process.pid for router in self.routers if router.process}
 
     async def run(self, policy):
-        """From the routers' start to the stop of all; `policy` is named in the progress."""
+        """Starts the routers, runs the scenario and stops everything. `policy` is only shown in the progress."""
         gc.collect()
         gc.freeze()  # a full collection stops all stand-ins and clients for up to tenths of a second
         try:
@@ -80,12 +80,12 @@
 
     async def _start_routers(self):
         await asyncio.gather(*(router.start() for router in self.routers))
-        self.beat.start()
+        self.event_loop.start()
         self.starvation.start()
 
     def _summary(self, policy):
         return (
-            f"{self.day.name}: {len(self.plan)} questions in {self.day.length_s:g} s, {self.day.routers} router(s), "
+            f"{self.day.name}: {len(self.plan)} requests in {self.day.length_s:g} s, {self.day.routers} router(s), "
             f"{len(self.fleet.standins)} stand-ins, policy {policy}"
         )
 
@@ -104,7 +104,7 @@
             self._tasks.append(loop.create_task(send_arrival(arrival, self.routers, self.requests)))
 
     async def _sleep_until(self, at_s):
-        """Until so many seconds after the scenario's start."""
+        """Waits until this many seconds after the scenario's start."""
         await asyncio.sleep(max(0.0, self._start + at_s - asyncio.get_running_loop().time()))
 
     async def _wait_for_tasks(self):
@@ -116,6 +116,6 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*(router.stop() for router in self.routers), return_exceptions=True)
-        await self.beat.stop()
+        await self.event_loop.stop()
         await self.starvation.stop()
         await stop_fleet(self.fleet)
--- a/ramppulley/load/scenario_settings.py
+++ b/ramppulley/load/scenario_settings.py
@@ -3,11 +3,11 @@
 from ramppulley.standin.demo import CHAT, VECTORS, machines
 from ramppulley.standin.fleet import StandinFleet
 
-STREAM_IDLE_TIMEOUT_S = 4.0  # shorter than a client waits for more of a stream that has begun
+STREAM_IDLE_TIMEOUT_S = 4.0  # shorter than the time that a client waits for the rest of a started stream
 STOP_TIMEOUT_S = 9.0
 TENANT_REQUESTS_PER_S = 6.0
 ZONES = ("north", "south")
-REQUEST_CLASSES = {  # in the form of the settings
+REQUEST_CLASSES = {  # as in the settings file
     "desk": {"promised_s": 2.0, "promised_s_per_k": 0.05, "outer_limit_s": 8.0, "benefit": 2.0},
     "afloat": {"promised_s": 1.2, "promised_s_per_k": 0.05, "outer_limit_s": 5.0},
     "booking": {
@@ -36,11 +36,11 @@
 FRACTIONAL_KIND_FIELDS = ("cold_from", "context_per_k", "zone_slower", "fall_multiple")
 
 
-def router_settings(day, number=0, **more):
-    """The settings of one of the scenario's routers; the scenario's own and then `more` go over the usual ones."""
+def router_settings(day, number=0, **overrides):
+    """The settings of one of the scenario's routers. The scenario's settings, then `overrides`, replace the defaults."""
     tenants = {stream.account: {"per_second": TENANT_REQUESTS_PER_S} for stream in day.streams if stream.account}
-    settings = _usual_settings(day, number, tenants)
-    for name, value in {**day.orders, **more}.items():
+    settings = _default_settings(day, number, tenants)
+    for name, value in {**day.orders, **overrides}.items():
         settings[name] = {**settings.get(name, {}), **value} if isinstance(value, dict) else value
     if tenants:
         settings["accounts"] = {
@@ -49,7 +49,7 @@
     return settings
 
 
-def _usual_settings(day, number, tenants):
+def _default_settings(day, number, tenants):
     return {
         "name": f"r{number}",
         "zone": ZONES[number % len(ZONES)],
@@ -70,21 +70,21 @@
 
 
 def api_key(tenant):
-    """The key by which a tenant's requests are known."""
+    """The API key that identifies a tenant's requests."""
     return f"sk-{tenant}"
 
 
 def scenario_fleet(day, list_path):
-    """The scenario's stand-in engines, not yet started."""
-    shape = day.fleet
-    found = machines(shape.cells, shape.readers, shape.writers, shape.pooled)
-    for machine in found:
-        machine["kind"] = _engine_kind(machine["role"], shape)
-    fleet = StandinFleet(found, list_path, tuple(shape.extensions))
+    """The scenario's stand-in engines, not started yet."""
+    layout = day.fleet
+    engines = machines(layout.cells, layout.readers, layout.writers, layout.pooled)
+    for machine in engines:
+        machine["kind"] = _engine_kind(machine["role"], layout)
+    fleet = StandinFleet(engines, list_path, tuple(layout.extensions))
     fleet.lag = 0.0
     return fleet
 
 
-def _engine_kind(role, shape):
-    fields = ENGINE_KINDS[role] | shape.kinds.get(role, {})
+def _engine_kind(role, layout):
+    fields = ENGINE_KINDS[role] | layout.kinds.get(role, {})
     return {name: value if name in FRACTIONAL_KIND_FIELDS else int(value) for name, value in fields.items()}
--- a/ramppulley/load/storm.py
+++ b/ramppulley/load/storm.py
@@ -1,6 +1,7 @@
-"""A storm: what a JSON5 file says of many router processes and of the faults between them. Pure; one seed, one storm.
+"""A fault-injection run: a JSON5 file that describes many router processes and the faults injected into them.
 
-A storm is a day (fleet, streams, troubles of engines) with faults of routers, links, clocks and disks. Times: seconds.
+It extends a scenario (fleet, streams, engine faults) with faults of routers, links, clocks and disks. No I/O; the same seed
+gives the same run. Times: seconds.
 """
 
 import fnmatch
@@ -9,21 +10,36 @@
 
 from pydantic import Field, model_validator
 
-from ramppulley.load.day import Day, Part
+from ramppulley.load.day import Day, ScenarioModel
 from ramppulley.standin.disk import LyingDisk
 
-ROUTERS = {"kill", "lose", "pause", "end", "roll", "add", "remove", "twice", "clock", "disk", "noise", "lie", "release"}
-LINKS = {"cut", "drop", "delay", "jitter", "double", "reorder", "stall", "bandwidth"}
-
-
-class Fault(Part):
-    """One fault. `who`: routers by shell pattern, of which `part` is drawn, or `count`. `release`: all are told to stop at
-    once, and are started again as each has ended.
-
-    Of links: from `who` to `to`, and back unless `one_way`. `size`: seconds of a delay, jitter or clock's step; part of
-    datagrams dropped, doubled or reordered; bytes a second of a bandwidth; datagrams a second of noise: spoilt, replayed,
-    of another cluster or version, too long; of a lie: so many times what it saw and has out is told, 0 = always nothing.
-    `disk`: how a disk lies from the next start on.
+ROUTER_FAULTS = {
+    "kill",
+    "lose",
+    "pause",
+    "end",
+    "roll",
+    "add",
+    "remove",
+    "twice",
+    "clock",
+    "disk",
+    "noise",
+    "lie",
+    "release",
+}
+LINK_FAULTS = {"cut", "drop", "delay", "jitter", "double", "reorder", "stall", "bandwidth"}
+
+
+class Fault(ScenarioModel):
+    """One fault. `who`: a shell pattern of router names, of which the share `part` or the number `count` is drawn.
+    `release`: all receive the stop signal at the same time, and each restarts once it has exited.
+
+    Link faults apply from `who` to `to`, and in the other direction unless `one_way`. `size` is, by fault: the seconds of a
+    delay, jitter or clock step; the share of datagrams that are dropped, duplicated or reordered; the bytes per second of a
+    bandwidth; the datagrams per second of noise (corrupt, replayed, of another cluster or version, too long); the factor by
+    which a lying router multiplies the load and the open attempts that it reports, with 0 for always none.
+    `disk`: the disk fault that takes effect at the next start.
     """
 
     what: Literal[
@@ -50,7 +66,7 @@
         "bandwidth",
     ]
     at_s: float = Field(ge=0)
-    for_s: float = Field(1.0, ge=0)  # of kill, lose, end: till it is started again; 0 = never
+    for_s: float = Field(1.0, ge=0)  # of kill, lose, end: time until the restart; 0 = none
     who: str = "*"
     to: str = "*"
     part: float = Field(1.0, gt=0, le=1)
@@ -60,7 +76,7 @@
     disk: str = ""
 
     @model_validator(mode="after")
-    def _fits(self):
+    def _check_fields(self):
         if self.what == "add" and self.count is None:
             raise ValueError("add needs count")
         if self.what == "disk" and self.disk not in (*LyingDisk.FAULTS, ""):
@@ -75,59 +91,61 @@
 
 
 class Storm(Day):
-    """The whole file."""
+    """A fault-injection file."""
 
     routers: int = Field(4, ge=1, le=64)
     peers: bool = True
-    subset: int | None = Field(12, ge=4)  # workers_least; null = the whole list
+    subset: int | None = Field(12, ge=4)  # the setting workers_least; null = no subsetting
     signals: bool = False
     turns: bool = False
-    restart: float = Field(0.0, ge=0, le=1)  # part of the routers that may stop at once, in turns; 0 = any
-    notices_s: float = Field(2.0, ge=0)  # the clients' front notices a dead router only then
-    warm_s: float = Field(2.0, ge=0)  # from the last router's start to the first question
-    service_least: float = Field(0.0, ge=0, le=1)  # what the storm must not push service under
-    uneven: float = Field(1.0, ge=1)  # router 0 gets so many times the others' questions
-    again: int = Field(0, ge=0, le=8)  # times that a client comes back that was turned back, each a question
-    sticky: bool = False  # a session's questions all go to one router; else to any
+    restart: float = Field(
+        0.0, ge=0, le=1
+    )  # share of the routers that may stop at the same time, coordinated by leases; 0 = no limit
+    notices_s: float = Field(2.0, ge=0)  # delay until the clients' load balancer notices a dead router
+    warm_s: float = Field(2.0, ge=0)  # from the start of the last router to the first request
+    service_least: float = Field(0.0, ge=0, le=1)  # the run fails if service is below this
+    uneven: float = Field(1.0, ge=1)  # router 0 gets this many times the requests of each other router
+    again: int = Field(0, ge=0, le=8)  # retries of a client whose request was rejected; each counts as a request
+    sticky: bool = False  # all requests of a session go to one router; else to any
     faults: list[Fault] = []
 
-    def most(self):
-        """Routers that there may be at one time: what each is told of their number."""
+    def max_routers(self):
+        """The maximum number of routers at any time; each router is configured with it."""
         return self.routers + sum(fault.count for fault in self.faults if fault.what == "add")
 
     @model_validator(mode="after")
-    def _few(self):
-        if self.most() > 64:
-            raise ValueError(f"faults: {self.most()} routers in all; 64 are the most")
+    def _check_router_count(self):
+        if self.max_routers() > 64:
+            raise ValueError(f"faults: {self.max_routers()} routers in all; 64 are the most")
         return self
 
 
-def drawn(storm, number, names):
-    """Of those routers whom fault `number` hits, in order: the same for the same seed and names."""
+def draw_routers(storm, number, names):
+    """The routers that fault `number` affects, in order; the same for the same seed and names."""
     fault = storm.faults[number]
-    some = sorted((name for name in names if fnmatch.fnmatch(name, fault.who)), key=lambda name: int(name[1:]))
-    count = min(len(some), fault.count if fault.count is not None else round(fault.part * len(some)))
-    return sorted(Random(f"{storm.seed} fault {number}").sample(some, count), key=lambda name: int(name[1:]))
+    matching = sorted((name for name in names if fnmatch.fnmatch(name, fault.who)), key=lambda name: int(name[1:]))
+    count = min(len(matching), fault.count if fault.count is not None else round(fault.part * len(matching)))
+    return sorted(Random(f"{storm.seed} fault {number}").sample(matching, count), key=lambda name: int(name[1:]))
 
 
-def pairs(fault, names):
-    """The directed pairs whose links a fault changes."""
-    there = [
+def affected_links(fault, names):
+    """The directed links, as (from, to), that a fault changes."""
+    forward = [
         (a, b)
         for a in names
         for b in names
         if a != b and fnmatch.fnmatch(a, fault.who) and fnmatch.fnmatch(b, fault.to)
     ]
-    return sorted({*there, *([] if fault.one_way else [(b, a) for a, b in there])})
+    return sorted({*forward, *([] if fault.one_way else [(b, a) for a, b in forward])})
 
 
-def link_of(fault):
-    """What becomes of a link: fields of `standin.links.Link`, with and after the fault."""
-    tenths = int(fault.size * 10_000)
+def link_changes(fault):
+    """Fields of `standin.links.Link` to set at the start of a fault, and those to set at its end."""
+    ticks = int(fault.size * 10_000)  # tenths of a millisecond
     return {
         "cut": ({"cut": True}, {"cut": False}),
         "stall": ({"stalled": True}, {"stalled": False}),
-        "delay": ({"delay": tenths}, {"delay": 0}),
-        "jitter": ({"jitter": tenths}, {"jitter": 0}),
+        "delay": ({"delay": ticks}, {"delay": 0}),
+        "jitter": ({"jitter": ticks}, {"jitter": 0}),
         "bandwidth": ({"per_second": int(fault.size)}, {"per_second": 0}),
     }.get(fault.what, ({fault.what: fault.size}, {fault.what: 0.0}))
--- a/ramppulley/load/stormrouter.py
+++ b/ramppulley/load/stormrouter.py
@@ -1,4 +1,4 @@
-"""The router processes of a run with faults, and the front that shares out clients among them."""
+"""The router processes of a fault-injection run, and the load balancer that distributes clients among them."""
 
 import asyncio
 import json
@@ -11,16 +11,16 @@
 from ramppulley.load.routers import ProcessRouter
 from ramppulley.load.scenario_settings import router_settings
 
-S = 10_000
-UDP_PORTS = range(20_000, 32_000)  # under those that the kernel gives out, so that nobody else is given them
-START_TIMEOUT_S = 90.0  # of 64 at once, on a machine that is busy
-TICKS = os.sysconf("SC_CLK_TCK")
+S = 10_000  # tenths of a millisecond in a second
+UDP_PORTS = range(20_000, 32_000)  # below the kernel's ephemeral ports, so that no other program is given one
+START_TIMEOUT_S = 90.0  # enough for 64 routers that start at once on a busy machine
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def udp_port(taken, chance):
-    """A port for datagrams that nobody has."""
+def choose_udp_port(taken, rng):
+    """A UDP port that is free and not in `taken`, to which it is added."""
     while True:
-        port = chance.choice(UDP_PORTS)
+        port = rng.choice(UDP_PORTS)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -32,16 +32,16 @@
 
 
 class StormRouter(ProcessRouter):
-    """A router process of the rig: its datagrams pass the relay, its clock and disk are the rig's to spoil."""
+    """A router process whose datagrams pass through the relay and into whose clock and disk faults can be injected."""
 
     start_timeout_s = START_TIMEOUT_S
     stdin = asyncio.subprocess.PIPE
 
     def __init__(self, storm, number, folder, port, seeds, relay, name=None, mutant=""):
         name = name or f"r{number}"
-        orders = router_settings(storm, number, name=name, routers=storm.most(), log="json")
+        settings = router_settings(storm, number, name=name, routers=storm.max_routers(), log="json")
         if storm.peers:
-            orders["peers"] = {
+            settings["peers"] = {
                 "cluster": "storm",
                 "key_file": str(folder / "key"),
                 "snapshot": f"{name}.snap",
@@ -49,65 +49,65 @@
                 "seeds": seeds,
                 "machine": f"m{number}",
             }
-            orders["peers"] |= {"signals": storm.signals, "turns": storm.turns or bool(storm.restart)}
+            settings["peers"] |= {"signals": storm.signals, "turns": storm.turns or bool(storm.restart)}
             if storm.restart:
-                orders["peers"]["restart"] = {"part": storm.restart}
+                settings["peers"]["restart"] = {"part": storm.restart}
             if storm.subset:
-                orders["peers"]["subset"] = {"workers_least": storm.subset}
-        super().__init__(orders, folder)
-        self.number, self.relay, self.seed, self.udp, self.fault = number, relay, storm.seed, port, ""
-        self.mutant, self.in_turns = mutant, bool(storm.restart)
-        self.process, self.cpu, self.ends = None, 0.0, []
+                settings["peers"]["subset"] = {"workers_least": storm.subset}
+        super().__init__(settings, folder)
+        self.number, self.relay, self.seed, self.udp_port, self.disk_fault = number, relay, storm.seed, port, ""
+        self.mutant, self.stops_in_turns = mutant, bool(storm.restart)
+        self.process, self.cpu_s, self.ended_at = None, 0.0, []
 
     def command(self):
-        """The rig's own entry point, which may break the router on purpose."""
+        """Runs the test entry point, which can inject faults and mutants into the router."""
         return [
             "ramppulley.standin.entry",
             str(self.path),
             str(self.relay),
             f"{self.seed} {self.name}",
-            self.fault,
+            self.disk_fault,
             self.mutant,
         ]
 
-    def alive(self):
+    def is_alive(self):
         return self.process is not None and self.process.returncode is None
 
-    def count_cpu(self):
-        """Its processor time so far, as the system counts it."""
+    def add_cpu_time(self):
+        """Adds the processor time of the current process, as the kernel counts it, to `cpu_s`."""
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except (OSError, AttributeError):
             return
-        self.cpu += (int(fields[11]) + int(fields[12])) / TICKS
+        self.cpu_s += (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     async def kill(self):
-        self.count_cpu()
-        self.ends.append(time.time())
+        self.add_cpu_time()
+        self.ended_at.append(time.time())
         await super().kill()
 
     async def stop(self):
-        self.count_cpu()
-        self.ends.append(time.time())
-        if self.in_turns and self.alive():
-            self.process.kill()  # the storm is over: nobody waits for its turn to stop
+        self.add_cpu_time()
+        self.ended_at.append(time.time())
+        if self.stops_in_turns and self.is_alive():
+            self.process.kill()  # the run is over: do not wait for the routers to stop in turns
         await super().stop()
 
-    def tell(self, **order):
-        if self.alive():
-            self.process.stdin.write(json.dumps(order).encode() + b"\n")
+    def send_command(self, **command):
+        if self.is_alive():
+            self.process.stdin.write(json.dumps(command).encode() + b"\n")
 
-    async def pause(self, span):
+    async def pause(self, duration_s):
         at = int(time.monotonic() * S)
         self.process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(span)
-        if self.alive():
+        await asyncio.sleep(duration_s)
+        if self.is_alive():
             self.process.send_signal(signal.SIGCONT)
         self.away.append((at, int(time.monotonic() * S)))
 
 
-async def takes(port):
-    """Whether somebody takes connections there, as a front's look at its health finds out."""
+async def accepts_connections(port):
+    """Whether the port accepts connections, as checked by a load balancer's health check."""
     try:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.close()
@@ -116,26 +116,30 @@
         return False
 
 
-class Front:
-    """What the clients know of the routers: a dead one is noticed late, a new one when it is ready."""
+class LoadBalancer:
+    """The list of routers to which clients connect. A dead router is noticed with a delay, a new one when it is ready."""
 
-    def __init__(self, notices, uneven):
-        self.notices, self.uneven, self.serving = notices, uneven, []
+    def __init__(self, notice_delay_s, uneven):
+        self.notice_delay_s, self.uneven, self.serving = notice_delay_s, uneven, []
 
-    def up(self, router):
+    def add(self, router):
         if router not in self.serving:
             self.serving = sorted([*self.serving, router], key=lambda r: r.number)
 
-    def down(self, router):
+    def remove(self, router):
         self.serving = [r for r in self.serving if r is not router]
 
-    def gone(self, router):
-        asyncio.get_running_loop().call_later(self.notices, lambda: router.alive() or self.down(router))
+    def remove_if_dead(self, router):
+        asyncio.get_running_loop().call_later(self.notice_delay_s, lambda: router.is_alive() or self.remove(router))
 
-    def place(self, drawn):
-        """Where in the list a draw from 0 to 1 falls, the first router being `uneven` times as likely."""
+    def position(self, drawn):
+        """Maps a draw from 0 to 1 to a position in the list, with router 0 `uneven` times as likely as each other router."""
         if self.uneven == 1 or not self.serving or self.serving[0].number:
             return drawn
-        whole = len(self.serving) - 1 + self.uneven
-        first, rest = self.uneven / whole, 1 / len(self.serving)
-        return drawn / first * rest if drawn < first else rest + (drawn - first) / (1 - first) * (1 - rest)
+        total_weight = len(self.serving) - 1 + self.uneven
+        first_share, first_width = self.uneven / total_weight, 1 / len(self.serving)
+        return (
+            drawn / first_share * first_width
+            if drawn < first_share
+            else first_width + (drawn - first_share) / (1 - first_share) * (1 - first_width)
+        )
--- a/ramppulley/load/stormrun.py
+++ b/ramppulley/load/stormrun.py
@@ -1,4 +1,7 @@
-"""Plays a storm on loopback: router processes, a relay between them, stand-ins, clients; keeps what crossed the sockets."""
+"""Runs a fault-injection scenario on loopback with router processes, a relay between them, stand-ins and clients.
+
+It records what crossed the sockets.
+"""
 
 import asyncio
 import gc
@@ -15,297 +18,301 @@
 from zlib import crc32
 
 from ramppulley.cluster.seal import Seal
-from ramppulley.load.beat import Beat, Starving
+from ramppulley.load.beat import CpuStarvationMonitor, EventLoopMonitor
 from ramppulley.load.day import arrivals
 from ramppulley.load.evidence import gather_evidence, stop_fleet, wait_for_releases
 from ramppulley.load.requests import send_arrival
 from ramppulley.load.scenario_settings import router_settings, scenario_fleet
-from ramppulley.load.storm import LINKS, drawn, link_of, pairs
-from ramppulley.load.stormrouter import Front, StormRouter, takes, udp_port
+from ramppulley.load.storm import LINK_FAULTS, affected_links, draw_routers, link_changes
+from ramppulley.load.stormrouter import LoadBalancer, StormRouter, accepts_connections, choose_udp_port
 from ramppulley.load.troubles import Troubles
 from ramppulley.standin.links import Links, Relay
 
-S = 10_000
-NOISE_EACH = 0.01  # seconds between two handfuls of noise
+S = 10_000  # tenths of a millisecond in a second
+NOISE_INTERVAL_S = 0.01  # between two batches of noise datagrams
 
 
-class Playing:
-    """One storm under way."""
+class StormRun:
+    """One fault-injection run in progress."""
 
-    def __init__(self, storm, folder, say, mutant=""):
-        self.storm, self.folder, self.say, self.routers, self.front = storm, Path(folder), say, {}, None
+    def __init__(self, storm, folder, progress, mutant=""):
+        self.storm, self.folder, self.progress = storm, Path(folder), progress
+        self.routers, self.load_balancer = {}, None
         self.mutant = mutant
         self.links = Links(Random(f"{storm.seed} links"))
         self.relay = Relay(self.links, lambda: int(time.monotonic() * S))
-        self.chance, self.ports, self.events = Random(os.getpid()), set(), []
+        self.rng, self.udp_ports, self.events = Random(os.getpid()), set(), []
 
-    def make(self, number, name=None):
-        port = udp_port(self.ports, self.chance)
-        seeds = [f"storm@127.0.0.1:{r.udp}" for r in list(self.routers.values())[:3]]
+    def create_router(self, number, name=None):
+        port = choose_udp_port(self.udp_ports, self.rng)
+        seeds = [f"storm@127.0.0.1:{r.udp_port}" for r in list(self.routers.values())[:3]]
         router = StormRouter(self.storm, number, self.folder, port, seeds, self.relay.port, name, self.mutant)
         self.relay.names[port] = router.name if name is None else f"{name}x"
         self.routers[router.name if name is None else f"{name}x"] = router
         return router
 
-    async def begin(self, router):
+    async def start_router(self, router):
         await router.start()
         if router.number < 1000:
-            self.front.up(router)
+            self.load_balancer.add(router)
 
     async def play(self):
-        storm, loop, asked, tasks = self.storm, asyncio.get_running_loop(), [], []
+        storm, loop, requests, tasks = self.storm, asyncio.get_running_loop(), [], []
         (self.folder / "key").write_text(f"{Random(f'{storm.seed} key').getrandbits(256):064x}")
         self.relay.start(loop)
-        self.front = Front(storm.notices_s, storm.uneven)
+        self.load_balancer = LoadBalancer(storm.notices_s, storm.uneven)
         plan = arrivals(storm)
         fleet = self.fleet = await scenario_fleet(storm, self.folder / "workers.json5").start()
         fleet.lag = storm.fleet.list_lag_s
         for number in range(storm.routers):
-            self.make(number)
-        beat = Beat()
-        starving = Starving(lambda: {r.number: r.process.pid for r in self.routers.values() if r.alive()})
+            self.create_router(number)
+        event_loop = EventLoopMonitor()
+        starvation = CpuStarvationMonitor(
+            lambda: {r.number: r.process.pid for r in self.routers.values() if r.is_alive()}
+        )
         gc.collect()
         gc.freeze()
         try:
-            await asyncio.gather(*(self.begin(r) for r in list(self.routers.values())))
+            await asyncio.gather(*(self.start_router(r) for r in list(self.routers.values())))
             await asyncio.sleep(storm.warm_s if storm.peers else 0.0)
-            beat.start()
-            starving.start()
+            event_loop.start()
+            starvation.start()
             troubles, start = Troubles(fleet, storm.seed), loop.time() + 0.1
-            self.began = time.time() + 0.1
-            self.cpu_before = {r.name: self._cpu(r) for r in self.routers.values()}
-            before = dict(self.links.bytes), dict(self.links.count)
-            self.say(
-                f"{storm.name}: seed {storm.seed}, {len(plan)} questions, {storm.length_s:g} s, "
+            self.started_at = time.time() + 0.1
+            self.cpu_before = {r.name: self._current_cpu_time(r) for r in self.routers.values()}
+            counts_before = dict(self.links.bytes), dict(self.links.count)
+            self.progress(
+                f"{storm.name}: seed {storm.seed}, {len(plan)} requests, {storm.length_s:g} s, "
                 f"{storm.routers} routers, {len(fleet.standins)} stand-ins"
             )
 
-            async def at(when, act, *given):
-                await asyncio.sleep(max(0.0, start + when - loop.time()))
-                await act(*given)
+            async def run_at(at_s, action, *arguments):
+                await asyncio.sleep(max(0.0, start + at_s - loop.time()))
+                await action(*arguments)
 
-            tasks += [loop.create_task(at(t.at_s, troubles.play, t, self.say)) for t in storm.troubles]
-            tasks += [loop.create_task(at(f.at_s, self._fault, n, f)) for n, f in enumerate(storm.faults)]
+            tasks += [loop.create_task(run_at(t.at_s, troubles.play, t, self.progress)) for t in storm.troubles]
+            tasks += [loop.create_task(run_at(f.at_s, self._play_fault, n, f)) for n, f in enumerate(storm.faults)]
             for arrival in plan:
                 await asyncio.sleep(max(0.0, start + arrival.at - loop.time()))
-                if self.front.serving:
-                    tasks.append(loop.create_task(self._asked(arrival, asked)))
-            for fault in await asyncio.gather(*tasks, return_exceptions=True):
-                if isinstance(fault, BaseException):
-                    raise fault
+                if self.load_balancer.serving:
+                    tasks.append(loop.create_task(self._send_request(arrival, requests)))
+            for result in await asyncio.gather(*tasks, return_exceptions=True):
+                if isinstance(result, BaseException):
+                    raise result
             await wait_for_releases(fleet)
-            self.took, self.over = loop.time() - start, int(time.monotonic() * S)
-            self.stayed = sorted(r.name for r in self.routers.values() if r.number < 1000 and r.alive())
-            self.bytes = {name: count - before[0].get(name, 0) for name, count in self.links.bytes.items()}
-            self.count = {name: count - before[1].get(name, 0) for name, count in self.links.count.items()}
+            self.duration_s, self.ended_at = loop.time() - start, int(time.monotonic() * S)
+            self.alive_at_end = sorted(r.name for r in self.routers.values() if r.number < 1000 and r.is_alive())
+            self.bytes = {name: count - counts_before[0].get(name, 0) for name, count in self.links.bytes.items()}
+            self.count = {name: count - counts_before[1].get(name, 0) for name, count in self.links.count.items()}
         finally:
             gc.unfreeze()
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*(r.stop() for r in self.routers.values() if r.process), return_exceptions=True)
-            await beat.stop()
-            await starving.stop()
+            await event_loop.stop()
+            await starvation.stop()
             self.relay.stop()
             await stop_fleet(fleet)
-        evidence = gather_evidence(asked, fleet, list(self.routers.values()), beat, router_settings(storm), starving)
-        missed = len(plan) - len(asked)
-        return evidence, missed
+        evidence = gather_evidence(
+            requests, fleet, list(self.routers.values()), event_loop, router_settings(storm), starvation
+        )
+        unsent = len(plan) - len(requests)
+        return evidence, unsent
 
-    async def _asked(self, arrival, asked):
-        """One client's question; turned back, it comes back as often as the storm says, each time at another router."""
+    async def _send_request(self, arrival, requests):
+        """Sends one client's request; a rejected one is retried up to `again` times, each time at another router."""
         for number in range(1 + self.storm.again):
-            drawn = crc32(arrival.session.encode()) / 2**32 if self.storm.sticky else arrival.router
-            drawn = self.front.place((drawn + number * 0.38) % 1)
-            back = await send_arrival(replace(arrival, router=drawn), self.front.serving, asked)
-            if back is None or not self.front.serving:
+            position = crc32(arrival.session.encode()) / 2**32 if self.storm.sticky else arrival.router
+            position = self.load_balancer.position((position + number * 0.38) % 1)
+            retry_after = await send_arrival(replace(arrival, router=position), self.load_balancer.serving, requests)
+            if retry_after is None or not self.load_balancer.serving:
                 return
-            await asyncio.sleep(back)
+            await asyncio.sleep(retry_after)
             arrival = replace(arrival, name=f"{arrival.name.partition('a')[0]}a{number + 1}")
 
-    def _cpu(self, router):
-        before, router.cpu = router.cpu, 0.0
-        router.count_cpu()
-        now, router.cpu = router.cpu, before
-        return now
-
-    # Faults
-    async def _fault(self, number, fault):
-        if fault.what in LINKS:
-            names, (on, off) = list(self.relay.names.values()), link_of(fault)
-            hit = pairs(fault, names)
-            self.say(f"  {fault.at_s:5.1f} s  {fault.what} {fault.who} to {fault.to}: {len(hit)} links")
-            for pair in hit:
+    def _current_cpu_time(self, router):
+        earlier, router.cpu_s = router.cpu_s, 0.0
+        router.add_cpu_time()
+        current, router.cpu_s = router.cpu_s, earlier
+        return current
+
+    async def _play_fault(self, number, fault):
+        if fault.what in LINK_FAULTS:
+            names, (on, off) = list(self.relay.names.values()), link_changes(fault)
+            links = affected_links(fault, names)
+            self.progress(f"  {fault.at_s:5.1f} s  {fault.what} {fault.who} to {fault.to}: {len(links)} links")
+            for pair in links:
                 self.relay.change(pair, **on)
             await asyncio.sleep(fault.for_s)
-            for pair in hit:
+            for pair in links:
                 self.relay.change(pair, **off)
             return
-        names = drawn(
-            self.storm, number, [r.name for n, r in self.routers.items() if r.alive() and not n.endswith("x")]
+        names = draw_routers(
+            self.storm, number, [r.name for n, r in self.routers.items() if r.is_alive() and not n.endswith("x")]
         )
-        self.say(f"  {fault.at_s:5.1f} s  {fault.what} {' '.join(names) if fault.what != 'add' else fault.count}")
-        hit = [self.routers[name] for name in names]
-        await getattr(self, "_" + fault.what)(fault, hit)
-
-    async def _kill(self, fault, hit, lose=False):
-        self.events += [("killed", r.name, time.time()) for r in hit]
-        for router in hit:
-            self.front.gone(router)
-        await asyncio.gather(*(r.kill() for r in hit))
-        for router in hit if lose else ():
+        self.progress(f"  {fault.at_s:5.1f} s  {fault.what} {' '.join(names) if fault.what != 'add' else fault.count}")
+        targets = [self.routers[name] for name in names]
+        await getattr(self, "_" + fault.what)(fault, targets)
+
+    async def _kill(self, fault, targets, lose_disk=False):
+        self.events += [("killed", r.name, time.time()) for r in targets]
+        for router in targets:
+            self.load_balancer.remove_if_dead(router)
+        await asyncio.gather(*(r.kill() for r in targets))
+        for router in targets if lose_disk else ():
             shutil.rmtree(self.folder / f"{router.name}.snap", ignore_errors=True)
             (self.folder / f"{router.name}.snap").unlink(missing_ok=True)
         if fault.for_s:
             await asyncio.sleep(fault.for_s)
-            await asyncio.gather(*(self.begin(r) for r in hit))
+            await asyncio.gather(*(self.start_router(r) for r in targets))
 
-    async def _lose(self, fault, hit):
-        """The machine with its disk: nothing of it is left."""
-        await self._kill(fault, hit, True)
+    async def _lose(self, fault, targets):
+        """Loses the machine together with its disk, including the snapshot."""
+        await self._kill(fault, targets, True)
 
-    async def _pause(self, fault, hit):
-        self.events += [("paused", r.name, time.time()) for r in hit]
-        await asyncio.gather(*(r.pause(fault.for_s) for r in hit))
+    async def _pause(self, fault, targets):
+        self.events += [("paused", r.name, time.time()) for r in targets]
+        await asyncio.gather(*(r.pause(fault.for_s) for r in targets))
 
-    async def _end(self, fault, hit):
-        """Planned: the front lets it go first."""
-        for router in hit:
-            self.front.down(router)
+    async def _end(self, fault, targets):
+        """A planned stop: the load balancer removes the router first."""
+        for router in targets:
+            self.load_balancer.remove(router)
         await asyncio.sleep(0.2)
-        await asyncio.gather(*(self._stopped(r) for r in hit))
+        await asyncio.gather(*(self._stop_router(r) for r in targets))
         if fault.for_s:
             await asyncio.sleep(fault.for_s)
-            await asyncio.gather(*(self.begin(r) for r in hit))
+            await asyncio.gather(*(self.start_router(r) for r in targets))
 
-    async def _release(self, fault, hit):
-        """All are told to stop in one moment; the front lets each go once it takes no connection any more."""
-        await asyncio.gather(*(self._released(r) for r in hit))
+    async def _release(self, fault, targets):
+        """Signals all routers to stop at the same time; the load balancer removes each once it accepts no connections."""
+        await asyncio.gather(*(self._release_router(r) for r in targets))
 
-    async def _released(self, router):
-        router.count_cpu()
+    async def _release_router(self, router):
+        router.add_cpu_time()
         router.process.send_signal(signal.SIGTERM)
-        while router.alive() and await takes(router.port):
+        while router.is_alive() and await accepts_connections(router.port):
             await asyncio.sleep(0.02)
-        self.front.down(router)
+        self.load_balancer.remove(router)
         self.events.append(("stopped", router.name, time.time()))
         await router.process.wait()
-        await self.begin(router)
+        await self.start_router(router)
         self.events.append(("back", router.name, time.time()))
 
-    async def _stopped(self, router):
-        router.count_cpu()
+    async def _stop_router(self, router):
+        router.add_cpu_time()
         router.process.send_signal(signal.SIGTERM)
         await router.process.wait()
 
-    async def _roll(self, fault, hit):
-        """All of them, a part of `size` at a time (a tenth where none is named)."""
-        step = max(1, round((fault.size or 0.1) * len(hit)))
-        for first in range(0, len(hit), step):
-            await self._end(fault.model_copy(update={"for_s": 0.1}), hit[first : first + step])
+    async def _roll(self, fault, targets):
+        """Restarts all routers in batches; `size` is the share in each batch, 0.1 by default."""
+        batch_size = max(1, round((fault.size or 0.1) * len(targets)))
+        for first in range(0, len(targets), batch_size):
+            await self._end(fault.model_copy(update={"for_s": 0.1}), targets[first : first + batch_size])
 
-    async def _add(self, fault, hit):
-        first = max(r.number for r in self.routers.values() if r.number < 1000) + 1
-        await asyncio.gather(*(self.begin(self.make(first + n)) for n in range(fault.count)))
+    async def _add(self, fault, targets):
+        next_number = max(r.number for r in self.routers.values() if r.number < 1000) + 1
+        await asyncio.gather(*(self.start_router(self.create_router(next_number + n)) for n in range(fault.count)))
 
-    async def _remove(self, fault, hit):
-        await self._end(fault.model_copy(update={"for_s": 0.0}), hit)
+    async def _remove(self, fault, targets):
+        await self._end(fault.model_copy(update={"for_s": 0.0}), targets)
 
-    async def _twice(self, fault, hit):
-        """Another process of the same name on another machine, with a snapshot of its own; no client goes there."""
-        for router in hit:
+    async def _twice(self, fault, targets):
+        """Starts a second process with the same name on another machine, with its own snapshot; clients do not use it."""
+        for router in targets:
             folder = self.folder / f"{router.name}x"
             folder.mkdir()
             shutil.copy(self.folder / "key", folder / "key")
             shutil.copy(self.folder / "workers.json5", folder / "workers.json5")
-            other = StormRouter(
+            duplicate = StormRouter(
                 self.storm,
                 1000 + router.number,
                 folder,
-                udp_port(self.ports, self.chance),
-                [f"storm@127.0.0.1:{r.udp}" for r in list(self.routers.values())[:3]],
+                choose_udp_port(self.udp_ports, self.rng),
+                [f"storm@127.0.0.1:{r.udp_port}" for r in list(self.routers.values())[:3]],
                 self.relay.port,
                 router.name,
                 self.mutant,
             )
-            self.relay.names[other.udp] = f"{router.name}x"
-            self.routers[f"{router.name}x"] = other
-            await self.begin(other)
+            self.relay.names[duplicate.udp_port] = f"{router.name}x"
+            self.routers[f"{router.name}x"] = duplicate
+            await self.start_router(duplicate)
         await asyncio.sleep(fault.for_s)
-        await asyncio.gather(*(self._stopped(self.routers[f"{r.name}x"]) for r in hit))
+        await asyncio.gather(*(self._stop_router(self.routers[f"{r.name}x"]) for r in targets))
 
-    async def _clock(self, fault, hit):
-        for router in hit:
-            router.tell(clock=fault.size)
+    async def _clock(self, fault, targets):
+        for router in targets:
+            router.send_command(clock=fault.size)
 
-    async def _noise(self, fault, hit):
-        """What is not to be believed, at each of them: `size` datagrams a second, what crossed before, and strangers'."""
-        chance, loop = Random(f"{self.storm.seed} noise"), asyncio.get_running_loop()
-        stranger = Seal("elsewhere", (self.folder / "key").read_bytes(), "stranger", chance)
-        until, sent = loop.time() + fault.for_s, 0
+    async def _noise(self, fault, targets):
+        """Sends each router `size` invalid datagrams per second: corrupt or replayed ones, and those of another cluster."""
+        rng, loop = Random(f"{self.storm.seed} noise"), asyncio.get_running_loop()
+        foreign_seal = Seal("elsewhere", (self.folder / "key").read_bytes(), "stranger", rng)
+        end, sent_count = loop.time() + fault.for_s, 0
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            while loop.time() < until:
-                crossed = list(self.relay.crossed)
-                for router in hit:
-                    for _ in range(max(1, int(fault.size * NOISE_EACH))):
-                        sock.sendto(noise(chance, stranger, crossed), ("127.0.0.1", router.udp))
-                        sent += 1
-                await asyncio.sleep(NOISE_EACH)
-        self.say(f"        {sent} datagrams of noise")
-
-    async def _lie(self, fault, hit):
-        for router in hit:
-            router.tell(lie=fault.size)
+            while loop.time() < end:
+                recorded = list(self.relay.crossed)
+                for router in targets:
+                    for _ in range(max(1, int(fault.size * NOISE_INTERVAL_S))):
+                        sock.sendto(noise_datagram(rng, foreign_seal, recorded), ("127.0.0.1", router.udp_port))
+                        sent_count += 1
+                await asyncio.sleep(NOISE_INTERVAL_S)
+        self.progress(f"        {sent_count} datagrams of noise")
+
+    async def _lie(self, fault, targets):
+        for router in targets:
+            router.send_command(lie=fault.size)
         await asyncio.sleep(fault.for_s)
-        for router in hit:
-            router.tell(lie=1)
+        for router in targets:
+            router.send_command(lie=1)
 
-    async def _disk(self, fault, hit):
-        for router in hit:
-            router.fault = fault.disk
-            router.tell(disk=fault.disk)
+    async def _disk(self, fault, targets):
+        for router in targets:
+            router.disk_fault = fault.disk
+            router.send_command(disk=fault.disk)
 
 
-def noise(chance, stranger, crossed):
-    """One datagram that no router may believe."""
-    raw = chance.choice(crossed) if crossed else b""
-    kind = chance.randrange(6)
+def noise_datagram(rng, foreign_seal, recorded):
+    """One datagram that a router must reject."""
+    raw = rng.choice(recorded) if recorded else b""
+    kind = rng.randrange(6)
     if kind == 0 or len(raw) < 8:
-        return stranger.seal("members", chance.randbytes(200))
-    at = chance.randrange(len(raw))
+        return foreign_seal.seal("members", rng.randbytes(200))
+    at = rng.randrange(len(raw))
     return [
         raw,
         raw[:at],
-        raw + chance.randbytes(1400),
+        raw + rng.randbytes(1400),
         raw[:2] + b"\x63" + raw[3:],
-        raw[:at] + bytes([raw[at] ^ 1 << chance.randrange(8)]) + raw[at + 1 :],
+        raw[:at] + bytes([raw[at] ^ 1 << rng.randrange(8)]) + raw[at + 1 :],
     ][kind - 1]
 
 
-def logged(folder):
-    """[(time, router, event, fields)] of all routers' logs."""
+def read_logs(folder):
+    """The entries of all routers' logs, as (time, router, event, fields) in order of time."""
     from datetime import datetime
 
-    found = []
+    entries = []
     for path in Path(folder).glob("**/r*.log"):
         for line in path.read_text(errors="replace").splitlines():
             try:
-                told = json.loads(line)
-                at = datetime.fromisoformat(told["timestamp"]).timestamp()
+                fields = json.loads(line)
+                at = datetime.fromisoformat(fields["timestamp"]).timestamp()
             except (ValueError, KeyError, TypeError):
                 continue
-            found.append((at, path.stem + "x" * (path.parent != Path(folder)), told.get("event", ""), told))
-    return sorted(found, key=lambda row: row[0])
+            entries.append((at, path.stem + "x" * (path.parent != Path(folder)), fields.get("event", ""), fields))
+    return sorted(entries, key=lambda entry: entry[0])
 
 
-async def storm(told, say=lambda text: None, folder=None, mutant=""):
-    """(Evidence, questions that met no router, Playing, logs) of one storm."""
-    holder = tempfile.TemporaryDirectory(prefix="rp-storm-") if folder is None else None
-    folder = Path(folder or holder.name)
+async def run_storm(storm, progress=lambda text: None, folder=None, mutant=""):
+    """Runs a scenario; returns (evidence, number of requests that found no router, the StormRun, log entries)."""
+    temporary = tempfile.TemporaryDirectory(prefix="rp-storm-") if folder is None else None
+    folder = Path(folder or temporary.name)
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        playing = Playing(told, folder, say, mutant)
-        evidence, missed = await playing.play()
-        return evidence, missed, playing, logged(folder)
+        run = StormRun(storm, folder, progress, mutant)
+        evidence, unsent = await run.play()
+        return evidence, unsent, run, read_logs(folder)
     finally:
-        if holder:
-            holder.cleanup()
+        if temporary:
+            temporary.cleanup()
--- a/ramppulley/load/tap.py
+++ b/ramppulley/load/tap.py
@@ -1,4 +1,4 @@
-"""The bench adapter with its routers' events recorded: one record a router in a folder, closed when the input ends."""
+"""The bench adapter with an event recording for each router, closed when the input ends."""
 
 from pathlib import Path
 
@@ -8,16 +8,18 @@
 
 
 def serve(source, sink, folder):
-    """As the adapter serves; each router's record is folder/<its name>.rec."""
-    folder, made = Path(folder), []
+    """Serves as the adapter does and writes each router's recording to folder/<number>-<its name>.rec."""
+    folder, recorders = Path(folder), []
     folder.mkdir(parents=True, exist_ok=True)
 
-    def recorded(host, **more):
-        made.append(events.Recorder(Router, folder / f"{len(made):03}-{host.name}.rec", host, **more, about=host.name))
-        return made[-1]
+    def make_recorder(host, **options):
+        recorders.append(
+            events.Recorder(Router, folder / f"{len(recorders):03}-{host.name}.rec", host, **options, about=host.name)
+        )
+        return recorders[-1]
 
     try:
-        wire.serve(source, sink, recorded)
+        wire.serve(source, sink, make_recorder)
     finally:
-        for recorder in made:
+        for recorder in recorders:
             recorder.close()
