--- a/ramppulley/load/baselines.py
+++ b/ramppulley/load/baselines.py
@@ -60,7 +60,7 @@
             return self.give_up(now, request)
         has_prefill_workers = any(endpoint.role == "read" for endpoint in self.workers)
         roles = ("write", "both") if request.has_kv_state or not has_prefill_workers else ("read",)
-        endpoints = sorted(self.usable_endpoints(now, request, roles), key=lambda endpoint: endpoint.mark)
+        endpoints = sorted(self.usable_endpoints(now, request, roles), key=lambda e: e.mark)
         candidates = [endpoint for endpoint in endpoints if endpoint not in request.tried] or endpoints
         if not candidates:
             return self.give_up(now, request)
--- a/ramppulley/load/day.py
+++ b/ramppulley/load/day.py
@@ -1,4 +1,4 @@
-"""A scenario: a JSON5 file that describes the fleet, the arrivals and the faults, and the arrivals drawn from it.
+"""A scenario, read from a JSON5 file: the fleet, the request streams and the faults; and the arrivals drawn from it.
 
 No I/O; the same seed gives the same scenario. Times are seconds from the start; lengths are tokens as the stand-ins count
 them.
@@ -155,39 +155,39 @@
     router: float = 0.0  # 0 to 1: position in the list of routers
 
 
-def arrival_rate(day, stream, at):
+def arrival_rate(scenario, stream, at):
     """Requests per second of a stream at a time, including the scenario's bursts and floods."""
-    if not stream.from_s <= at < (stream.to_s if stream.to_s is not None else day.length_s):
+    if not stream.from_s <= at < (stream.to_s if stream.to_s is not None else scenario.length_s):
         return 0.0
     rate = stream.per_s
-    for trouble in day.troubles:
-        if trouble.at_s <= at < trouble.at_s + trouble.for_s and (
-            trouble.what == "burst" or (trouble.what == "flood" and trouble.account == stream.account)
+    for fault in scenario.troubles:
+        if fault.at_s <= at < fault.at_s + fault.for_s and (
+            fault.what == "burst" or (fault.what == "flood" and fault.account == stream.account)
         ):
-            rate *= trouble.size
+            rate *= fault.size
     return rate
 
 
-def arrivals(day):
+def arrivals(scenario):
     """All arrivals of a scenario, in order of time; the same for the same scenario and seed.
 
-    >>> day = Day(name="d", length_s=5, streams=[Stream(per_s=20)])
-    >>> plan = arrivals(day)
-    >>> plan == arrivals(day), 50 < len(plan) < 150, plan == sorted(plan, key=lambda a: a.at)
+    >>> scenario = Day(name="d", length_s=5, streams=[Stream(per_s=20)])
+    >>> plan = arrivals(scenario)
+    >>> plan == arrivals(scenario), 50 < len(plan) < 150, plan == sorted(plan, key=lambda a: a.at)
     (True, True, True)
     """
     drawn = []
-    for number, stream in enumerate(day.streams):
-        rng = Random(f"{day.seed} {number}")
-        peak = stream.per_s * math.prod(max(1.0, t.size) for t in day.troubles if t.what in ("burst", "flood"))
+    for number, stream in enumerate(scenario.streams):
+        rng = Random(f"{scenario.seed} {number}")
+        peak = stream.per_s * math.prod(max(1.0, t.size) for t in scenario.troubles if t.what in ("burst", "flood"))
         at, session_count = 0.0, 0
         open_sessions = []  # (session, prefix, next turn, tokens so far)
-        while (at := at + rng.expovariate(peak)) < day.length_s:
-            if rng.random() * peak >= arrival_rate(day, stream, at):
+        while (at := at + rng.expovariate(peak)) < scenario.length_s:
+            if rng.random() * peak >= arrival_rate(scenario, stream, at):
                 continue
             hot = any(
                 t.what == "hot_beginning" and t.at_s <= at < t.at_s + t.for_s and rng.random() < t.size
-                for t in day.troubles
+                for t in scenario.troubles
             )
             if open_sessions and not hot and rng.random() < 1 - 1 / stream.turns:
                 session, prefix, turn, context_tokens = open_sessions.pop(rng.randrange(len(open_sessions)))
@@ -222,7 +222,7 @@
                     rng.random() < stream.whole,
                     stream.patience_s,
                     rng.uniform(0.02, 1.0) if leaves_early else None,
-                    f"receipt-{day.seed}-{name}" if stream.receipts else "",
+                    f"receipt-{scenario.seed}-{name}" if stream.receipts else "",
                     rng.random(),
                 )
             )
--- a/ramppulley/load/report.py
+++ b/ramppulley/load/report.py
@@ -1,4 +1,4 @@
-"""Runs a day under one or more policies and tells the verdicts."""
+"""Runs a scenario under one or more policies and reports the verdicts."""
 
 import json
 
@@ -13,42 +13,44 @@
 COLUMNS = ("taken", "in_time", "late", "turned_back", "scrapped", "left", "lost", "unreached")
 
 
-def verdict(day, policy, evidence):
-    """Everything that is told of a run, as plain data."""
+def verdict(scenario, policy, evidence):
+    """All results of a run, as plain data."""
     table = rules.table(evidence)
     return {
-        "day": day.name,
+        "day": scenario.name,
         "policy": policy,
         "service": round(rules.service(evidence), 4),
-        "breaches": [str(b) for b in rules.breaches(evidence)],
+        "breaches": [str(breach) for breach in rules.breaches(evidence)],
         "lost": sum(row["lost"] for row in table.values()),
-        "kinds": [{"kind": kind, "use_case": case, **row} for (kind, case), row in sorted(table.items())],
+        "kinds": [
+            {"kind": kind, "use_case": request_class, **row} for (kind, request_class), row in sorted(table.items())
+        ],
         "sends": len(evidence.ledger),
     }
 
 
-def run_days(day, policies, progress):
-    found = []
+def run_days(scenario, policies, progress):
+    verdicts = []
     for policy in policies:
-        evidence = uvloop.run(play(day, structlog.get_logger(), policy, progress=progress))
-        found.append(verdict(day, policy, evidence))
-    return found
+        evidence = uvloop.run(play(scenario, structlog.get_logger(), policy, progress=progress))
+        verdicts.append(verdict(scenario, policy, evidence))
+    return verdicts
 
 
 def report(verdicts, as_json, console=None):
-    """One table for each run; as JSON lines where asked."""
+    """Prints one table for each run, or one line of JSON if `as_json`."""
     if as_json:
-        for told in verdicts:
-            print(json.dumps(told))
+        for result in verdicts:
+            print(json.dumps(result))
         return
     console = console or Console(width=120)
-    for told in verdicts:
-        table = Table(title=f"{told['day']}, {told['policy']}: service {told['service']:.3f} (simulated engines)")
+    for result in verdicts:
+        table = Table(title=f"{result['day']}, {result['policy']}: service {result['service']:.3f} (simulated engines)")
         for column in ("kind", "use case", *(c.replace("_", " ") for c in COLUMNS), "service"):
             table.add_column(column)
-        for row in told["kinds"]:
+        for row in result["kinds"]:
             table.add_row(row["kind"], row["use_case"], *(str(row[c]) for c in COLUMNS), f"{row['service']:.3f}")
         console.print(table)
-        for breach in told["breaches"][:20]:
+        for breach in result["breaches"][:20]:
             console.print(f"BROKEN {breach}", markup=False)
-        console.print("rules kept" if not told["breaches"] else f"{len(told['breaches'])} breaches")
+        console.print("rules kept" if not result["breaches"] else f"{len(result['breaches'])} breaches")
--- a/ramppulley/load/run.py
+++ b/ramppulley/load/run.py
@@ -12,23 +12,23 @@
 from ramppulley.load.requests import send_arrival
 from ramppulley.load.routers import ProcessRouter, TaskRouter
 from ramppulley.load.scenario_settings import router_settings, scenario_fleet
-from ramppulley.load.troubles import Troubles
+from ramppulley.load.troubles import FaultInjector
 
 START_DELAY_S = 0.1  # between the routers' start and the scenario's
 
 
-async def play(day, log, policy="module", make=None, progress=lambda text: None, folder=None):
+async def play(scenario, log, policy="module", make=None, progress=lambda text: None, folder=None):
     """Runs one scenario and returns its evidence. With `make` the routers run in this process, else each in its own."""
     with _run_folder(folder) as path:
-        plan = arrivals(day)
-        fleet = await scenario_fleet(day, path / "workers.json5").start()
-        fleet.lag = day.fleet.list_lag_s
-        settings = [router_settings(day, number) for number in range(day.routers)]
+        plan = arrivals(scenario)
+        fleet = await scenario_fleet(scenario, path / "workers.json5").start()
+        fleet.lag = scenario.fleet.list_lag_s
+        settings = [router_settings(scenario, number) for number in range(scenario.routers)]
         if make:
             routers = [TaskRouter(each, path, log, make) for each in settings]
         else:
             routers = [ProcessRouter(each, path, policy) for each in settings]
-        run = ScenarioRun(day, plan, fleet, routers, progress)
+        run = ScenarioRun(scenario, plan, fleet, routers, progress)
         await run.run(policy)
     return gather_evidence(run.requests, fleet, routers, run.event_loop, settings[0], run.starvation)
 
@@ -46,8 +46,8 @@
 class ScenarioRun:
     """One run of a scenario on a started fleet, with routers that it starts and stops."""
 
-    def __init__(self, day, plan, fleet, routers, progress):
-        self.day = day
+    def __init__(self, scenario, plan, fleet, routers, progress):
+        self.scenario = scenario
         self.plan = plan
         self.fleet = fleet
         self.routers = routers
@@ -67,10 +67,10 @@
         gc.freeze()  # a full collection stops all stand-ins and clients for up to tenths of a second
         try:
             await self._start_routers()
-            troubles = Troubles(self.fleet, self.day.seed, self.routers)
+            injector = FaultInjector(self.fleet, self.scenario.seed, self.routers)
             self._start = asyncio.get_running_loop().time() + START_DELAY_S
             self.progress(self._summary(policy))
-            self._schedule_troubles(troubles)
+            self._schedule_faults(injector)
             await self._send_requests()
             await self._wait_for_tasks()
             await wait_for_releases(self.fleet)
@@ -85,17 +85,17 @@
 
     def _summary(self, policy):
         return (
-            f"{self.day.name}: {len(self.plan)} requests in {self.day.length_s:g} s, {self.day.routers} router(s), "
-            f"{len(self.fleet.standins)} stand-ins, policy {policy}"
+            f"{self.scenario.name}: {len(self.plan)} requests in {self.scenario.length_s:g} s, "
+            f"{self.scenario.routers} router(s), {len(self.fleet.standins)} stand-ins, policy {policy}"
         )
 
-    def _schedule_troubles(self, troubles):
+    def _schedule_faults(self, injector):
         loop = asyncio.get_running_loop()
-        self._tasks += [loop.create_task(self._play_trouble(troubles, trouble)) for trouble in self.day.troubles]
+        self._tasks += [loop.create_task(self._play_fault(injector, fault)) for fault in self.scenario.troubles]
 
-    async def _play_trouble(self, troubles, trouble):
-        await self._sleep_until(trouble.at_s)
-        await troubles.play(trouble, self.progress)
+    async def _play_fault(self, injector, fault):
+        await self._sleep_until(fault.at_s)
+        await injector.play(fault, self.progress)
 
     async def _send_requests(self):
         loop = asyncio.get_running_loop()
--- a/ramppulley/load/scenario_settings.py
+++ b/ramppulley/load/scenario_settings.py
@@ -36,11 +36,11 @@
 FRACTIONAL_KIND_FIELDS = ("cold_from", "context_per_k", "zone_slower", "fall_multiple")
 
 
-def router_settings(day, number=0, **overrides):
+def router_settings(scenario, number=0, **overrides):
     """The settings of one of the scenario's routers. The scenario's settings, then `overrides`, replace the defaults."""
-    tenants = {stream.account: {"per_second": TENANT_REQUESTS_PER_S} for stream in day.streams if stream.account}
-    settings = _default_settings(day, number, tenants)
-    for name, value in {**day.orders, **overrides}.items():
+    tenants = {stream.account: {"per_second": TENANT_REQUESTS_PER_S} for stream in scenario.streams if stream.account}
+    settings = _default_settings(scenario, number, tenants)
+    for name, value in {**scenario.orders, **overrides}.items():
         settings[name] = {**settings.get(name, {}), **value} if isinstance(value, dict) else value
     if tenants:
         settings["accounts"] = {
@@ -49,12 +49,12 @@
     return settings
 
 
-def _default_settings(day, number, tenants):
+def _default_settings(scenario, number, tenants):
     return {
         "name": f"r{number}",
         "zone": ZONES[number % len(ZONES)],
-        "routers": day.routers,
-        "seed": day.seed + number,
+        "routers": scenario.routers,
+        "seed": scenario.seed + number,
         "use_cases": REQUEST_CLASSES,
         "accounts": tenants,
         "log": "json",
@@ -74,9 +74,9 @@
     return f"sk-{tenant}"
 
 
-def scenario_fleet(day, list_path):
+def scenario_fleet(scenario, list_path):
     """The scenario's stand-in engines, not started yet."""
-    layout = day.fleet
+    layout = scenario.fleet
     engines = machines(layout.cells, layout.readers, layout.writers, layout.pooled)
     for machine in engines:
         machine["kind"] = _engine_kind(machine["role"], layout)
--- a/ramppulley/load/storm.py
+++ b/ramppulley/load/storm.py
@@ -1,7 +1,7 @@
-"""A fault-injection run: a JSON5 file that describes many router processes and the faults injected into them.
+"""A fault-injection scenario, read from a JSON5 file: many router processes and the faults injected into them.
 
 It extends a scenario (fleet, streams, engine faults) with faults of routers, links, clocks and disks. No I/O; the same seed
-gives the same run. Times: seconds.
+gives the same faults. Times: seconds.
 """
 
 import fnmatch
@@ -38,7 +38,7 @@
     Link faults apply from `who` to `to`, and in the other direction unless `one_way`. `size` is, by fault: the seconds of a
     delay, jitter or clock step; the share of datagrams that are dropped, duplicated or reordered; the bytes per second of a
     bandwidth; the datagrams per second of noise (corrupt, replayed, of another cluster or version, too long); the factor by
-    which a lying router multiplies the load and the open attempts that it reports, with 0 for always none.
+    which a lying router multiplies the load and the open attempts that it reports (0: it always reports none).
     `disk`: the disk fault that takes effect at the next start.
     """
 
@@ -100,7 +100,7 @@
     turns: bool = False
     restart: float = Field(
         0.0, ge=0, le=1
-    )  # share of the routers that may stop at the same time, coordinated by leases; 0 = no limit
+    )  # share of the routers that may stop at the same time, by leases; 0 = no limit
     notices_s: float = Field(2.0, ge=0)  # delay until the clients' load balancer notices a dead router
     warm_s: float = Field(2.0, ge=0)  # from the start of the last router to the first request
     service_least: float = Field(0.0, ge=0, le=1)  # the run fails if service is below this
@@ -120,12 +120,12 @@
         return self
 
 
-def draw_routers(storm, number, names):
+def draw_routers(scenario, number, names):
     """The routers that fault `number` affects, in order; the same for the same seed and names."""
-    fault = storm.faults[number]
+    fault = scenario.faults[number]
     matching = sorted((name for name in names if fnmatch.fnmatch(name, fault.who)), key=lambda name: int(name[1:]))
     count = min(len(matching), fault.count if fault.count is not None else round(fault.part * len(matching)))
-    return sorted(Random(f"{storm.seed} fault {number}").sample(matching, count), key=lambda name: int(name[1:]))
+    return sorted(Random(f"{scenario.seed} fault {number}").sample(matching, count), key=lambda name: int(name[1:]))
 
 
 def affected_links(fault, names):
--- a/ramppulley/load/stormreport.py
+++ b/ramppulley/load/stormreport.py
@@ -33,7 +33,7 @@
 
 
 def death_detection(run, logs):
-    """(seconds until the first, and until the last, router declared a killed one dead; number of false deaths), by the logs."""
+    """(seconds until the first and until the last router declared a killed one dead, number of false deaths), from logs."""
     ends = {}
     for what, name, at in run.events:
         ends.setdefault(name, []).append((what, at))
@@ -67,14 +67,19 @@
     return sorted(set(reused))
 
 
-def unrecovered_peers(run, storm):
+def unrecovered_peers(run, scenario):
     """Routers that the others did not find again after the last fault; empty if the run was too short to tell."""
     last_fault_end = max(
-        [f.at_s + f.for_s for f in storm.faults] + [t.at_s + t.for_s for t in storm.troubles], default=0.0
+        [f.at_s + f.for_s for f in scenario.faults] + [t.at_s + t.for_s for t in scenario.troubles], default=0.0
     )
     # A router that lost most of its peers probes slowly for half a minute
-    most_gone = 2 * len(run.alive_at_end) <= storm.routers
-    if not storm.peers or len(run.alive_at_end) < 2 or storm.length_s - last_fault_end < SETTLE_TIME_S or most_gone:
+    most_gone = 2 * len(run.alive_at_end) <= scenario.routers
+    if (
+        not scenario.peers
+        or len(run.alive_at_end) < 2
+        or scenario.length_s - last_fault_end < SETTLE_TIME_S
+        or most_gone
+    ):
         return []
     return fleetwide.parted(run.relay.pinged, run.alive_at_end, run.ended_at - int(PROBED_WITHIN_S * 10_000))
 
@@ -96,35 +101,37 @@
     return None
 
 
-def verdict(storm, seed, progress=lambda text: None, folder=None, mutant=""):
+def verdict(scenario, seed, progress=lambda text: None, folder=None, mutant=""):
     """Runs a scenario with a seed; all its results, as plain data."""
-    seeded = storm.model_copy(update={"seed": seed})
+    seeded = scenario.model_copy(update={"seed": seed})
     evidence, unsent, run, logs = uvloop.run(run_storm(seeded, progress, folder, mutant))
     table = rules.table(evidence)
     roles = {n: s.engine.kind.role for n, s in run.fleet.standins.items() if s.engine.kind.role != "pool"}
     total_value = sum(a.benefit for a in evidence.asked if a.how != "left")
     mean_routers, max_routers = fleetwide.spread(evidence, roles)
     routers = list(run.routers.values())
-    first_death_s, last_death_s, false_deaths = death_detection(run, logs) if storm.peers else (None, None, 0)
+    first_death_s, last_death_s, false_deaths = death_detection(run, logs) if scenario.peers else (None, None, 0)
     cpu_s = sum(r.cpu_s - run.cpu_before.get(r.name, 0.0) for r in routers)
-    service = service_by_interval(evidence, min((a.sent for a in evidence.asked), default=0), storm.length_s)
+    service = service_by_interval(evidence, min((a.sent for a in evidence.asked), default=0), scenario.length_s)
     names = [r.name for r in routers if r.number < 1000]
     return {
-        "storm": storm.name,
+        "storm": scenario.name,
         "seed": seed,
         "version": VERSION,
-        "routers": storm.routers,
-        "peers": storm.peers,
-        "subset": storm.subset if storm.peers else None,
-        "signals": storm.signals and storm.peers,
-        "turns": storm.turns and storm.peers,
+        "routers": scenario.routers,
+        "peers": scenario.peers,
+        "subset": scenario.subset if scenario.peers else None,
+        "signals": scenario.signals and scenario.peers,
+        "turns": scenario.turns and scenario.peers,
         "mutant": mutant,
         "service": round(rules.service(evidence) * total_value / ((total_value + unsent) or 1), 4),
         "breaches": [str(b) for b in rules.breaches(evidence)],
         "left_out": [str(b) for b in fleetwide.left_out(evidence, roles)],
         "lost": sum(row["lost"] for row in table.values()),
         "away_most": max_routers_away(run),
-        "away_allowed": max(1, int(storm.restart * storm.routers)) if storm.restart else storm.max_routers(),
+        "away_allowed": max(1, int(scenario.restart * scenario.routers))
+        if scenario.restart
+        else scenario.max_routers(),
         "unreached": sum(r["unreached"] for r in table.values()) + unsent,
         "turned_back": sum(row["turned_back"] for row in table.values()),
         "late": sum(row["late"] for row in table.values()),
@@ -151,11 +158,11 @@
             2,
         ),
         "twice": sum(event == "a name twice" for _, _, event, _ in logs),
-        "service_least": storm.service_least,
+        "service_least": scenario.service_least,
         "strangers": reused_incarnations(run, logs),
-        "parted": unrecovered_peers(run, storm),
+        "parted": unrecovered_peers(run, scenario),
         "faults": sum(event in FAULT_EVENTS for _, _, event, _ in logs),
-        "recovered_s": recovery_time_s(service, max([t.at_s + t.for_s for t in storm.troubles], default=0.0)),
+        "recovered_s": recovery_time_s(service, max([t.at_s + t.for_s for t in scenario.troubles], default=0.0)),
         "course": service,
     }
 
--- a/ramppulley/load/stormrouter.py
+++ b/ramppulley/load/stormrouter.py
@@ -37,10 +37,10 @@
     start_timeout_s = START_TIMEOUT_S
     stdin = asyncio.subprocess.PIPE
 
-    def __init__(self, storm, number, folder, port, seeds, relay, name=None, mutant=""):
+    def __init__(self, scenario, number, folder, port, seeds, relay, name=None, mutant=""):
         name = name or f"r{number}"
-        settings = router_settings(storm, number, name=name, routers=storm.max_routers(), log="json")
-        if storm.peers:
+        settings = router_settings(scenario, number, name=name, routers=scenario.max_routers(), log="json")
+        if scenario.peers:
             settings["peers"] = {
                 "cluster": "storm",
                 "key_file": str(folder / "key"),
@@ -49,14 +49,14 @@
                 "seeds": seeds,
                 "machine": f"m{number}",
             }
-            settings["peers"] |= {"signals": storm.signals, "turns": storm.turns or bool(storm.restart)}
-            if storm.restart:
-                settings["peers"]["restart"] = {"part": storm.restart}
-            if storm.subset:
-                settings["peers"]["subset"] = {"workers_least": storm.subset}
+            settings["peers"] |= {"signals": scenario.signals, "turns": scenario.turns or bool(scenario.restart)}
+            if scenario.restart:
+                settings["peers"]["restart"] = {"part": scenario.restart}
+            if scenario.subset:
+                settings["peers"]["subset"] = {"workers_least": scenario.subset}
         super().__init__(settings, folder)
-        self.number, self.relay, self.seed, self.udp_port, self.disk_fault = number, relay, storm.seed, port, ""
-        self.mutant, self.stops_in_turns = mutant, bool(storm.restart)
+        self.number, self.relay, self.seed, self.udp_port, self.disk_fault = number, relay, scenario.seed, port, ""
+        self.mutant, self.stops_in_turns = mutant, bool(scenario.restart)
         self.process, self.cpu_s, self.ended_at = None, 0.0, []
 
     def command(self):
--- a/ramppulley/load/stormrun.py
+++ b/ramppulley/load/stormrun.py
@@ -25,7 +25,7 @@
 from ramppulley.load.scenario_settings import router_settings, scenario_fleet
 from ramppulley.load.storm import LINK_FAULTS, affected_links, draw_routers, link_changes
 from ramppulley.load.stormrouter import LoadBalancer, StormRouter, accepts_connections, choose_udp_port
-from ramppulley.load.troubles import Troubles
+from ramppulley.load.troubles import FaultInjector
 from ramppulley.standin.links import Links, Relay
 
 S = 10_000  # tenths of a millisecond in a second
@@ -35,18 +35,18 @@
 class StormRun:
     """One fault-injection run in progress."""
 
-    def __init__(self, storm, folder, progress, mutant=""):
-        self.storm, self.folder, self.progress = storm, Path(folder), progress
+    def __init__(self, scenario, folder, progress, mutant=""):
+        self.scenario, self.folder, self.progress = scenario, Path(folder), progress
         self.routers, self.load_balancer = {}, None
         self.mutant = mutant
-        self.links = Links(Random(f"{storm.seed} links"))
+        self.links = Links(Random(f"{scenario.seed} links"))
         self.relay = Relay(self.links, lambda: int(time.monotonic() * S))
         self.rng, self.udp_ports, self.events = Random(os.getpid()), set(), []
 
     def create_router(self, number, name=None):
         port = choose_udp_port(self.udp_ports, self.rng)
         seeds = [f"storm@127.0.0.1:{r.udp_port}" for r in list(self.routers.values())[:3]]
-        router = StormRouter(self.storm, number, self.folder, port, seeds, self.relay.port, name, self.mutant)
+        router = StormRouter(self.scenario, number, self.folder, port, seeds, self.relay.port, name, self.mutant)
         self.relay.names[port] = router.name if name is None else f"{name}x"
         self.routers[router.name if name is None else f"{name}x"] = router
         return router
@@ -57,14 +57,14 @@
             self.load_balancer.add(router)
 
     async def play(self):
-        storm, loop, requests, tasks = self.storm, asyncio.get_running_loop(), [], []
-        (self.folder / "key").write_text(f"{Random(f'{storm.seed} key').getrandbits(256):064x}")
+        scenario, loop, requests, tasks = self.scenario, asyncio.get_running_loop(), [], []
+        (self.folder / "key").write_text(f"{Random(f'{scenario.seed} key').getrandbits(256):064x}")
         self.relay.start(loop)
-        self.load_balancer = LoadBalancer(storm.notices_s, storm.uneven)
-        plan = arrivals(storm)
-        fleet = self.fleet = await scenario_fleet(storm, self.folder / "workers.json5").start()
-        fleet.lag = storm.fleet.list_lag_s
-        for number in range(storm.routers):
+        self.load_balancer = LoadBalancer(scenario.notices_s, scenario.uneven)
+        plan = arrivals(scenario)
+        fleet = self.fleet = await scenario_fleet(scenario, self.folder / "workers.json5").start()
+        fleet.lag = scenario.fleet.list_lag_s
+        for number in range(scenario.routers):
             self.create_router(number)
         event_loop = EventLoopMonitor()
         starvation = CpuStarvationMonitor(
@@ -74,24 +74,24 @@
         gc.freeze()
         try:
             await asyncio.gather(*(self.start_router(r) for r in list(self.routers.values())))
-            await asyncio.sleep(storm.warm_s if storm.peers else 0.0)
+            await asyncio.sleep(scenario.warm_s if scenario.peers else 0.0)
             event_loop.start()
             starvation.start()
-            troubles, start = Troubles(fleet, storm.seed), loop.time() + 0.1
+            injector, start = FaultInjector(fleet, scenario.seed), loop.time() + 0.1
             self.started_at = time.time() + 0.1
             self.cpu_before = {r.name: self._current_cpu_time(r) for r in self.routers.values()}
             counts_before = dict(self.links.bytes), dict(self.links.count)
             self.progress(
-                f"{storm.name}: seed {storm.seed}, {len(plan)} requests, {storm.length_s:g} s, "
-                f"{storm.routers} routers, {len(fleet.standins)} stand-ins"
+                f"{scenario.name}: seed {scenario.seed}, {len(plan)} requests, {scenario.length_s:g} s, "
+                f"{scenario.routers} routers, {len(fleet.standins)} stand-ins"
             )
 
             async def run_at(at_s, action, *arguments):
                 await asyncio.sleep(max(0.0, start + at_s - loop.time()))
                 await action(*arguments)
 
-            tasks += [loop.create_task(run_at(t.at_s, troubles.play, t, self.progress)) for t in storm.troubles]
-            tasks += [loop.create_task(run_at(f.at_s, self._play_fault, n, f)) for n, f in enumerate(storm.faults)]
+            tasks += [loop.create_task(run_at(t.at_s, injector.play, t, self.progress)) for t in scenario.troubles]
+            tasks += [loop.create_task(run_at(f.at_s, self._play_fault, n, f)) for n, f in enumerate(scenario.faults)]
             for arrival in plan:
                 await asyncio.sleep(max(0.0, start + arrival.at - loop.time()))
                 if self.load_balancer.serving:
@@ -114,15 +114,15 @@
             self.relay.stop()
             await stop_fleet(fleet)
         evidence = gather_evidence(
-            requests, fleet, list(self.routers.values()), event_loop, router_settings(storm), starvation
+            requests, fleet, list(self.routers.values()), event_loop, router_settings(scenario), starvation
         )
         unsent = len(plan) - len(requests)
         return evidence, unsent
 
     async def _send_request(self, arrival, requests):
         """Sends one client's request; a rejected one is retried up to `again` times, each time at another router."""
-        for number in range(1 + self.storm.again):
-            position = crc32(arrival.session.encode()) / 2**32 if self.storm.sticky else arrival.router
+        for number in range(1 + self.scenario.again):
+            position = crc32(arrival.session.encode()) / 2**32 if self.scenario.sticky else arrival.router
             position = self.load_balancer.position((position + number * 0.38) % 1)
             retry_after = await send_arrival(replace(arrival, router=position), self.load_balancer.serving, requests)
             if retry_after is None or not self.load_balancer.serving:
@@ -148,7 +148,7 @@
                 self.relay.change(pair, **off)
             return
         names = draw_routers(
-            self.storm, number, [r.name for n, r in self.routers.items() if r.is_alive() and not n.endswith("x")]
+            self.scenario, number, [r.name for n, r in self.routers.items() if r.is_alive() and not n.endswith("x")]
         )
         self.progress(f"  {fault.at_s:5.1f} s  {fault.what} {' '.join(names) if fault.what != 'add' else fault.count}")
         targets = [self.routers[name] for name in names]
@@ -225,7 +225,7 @@
             shutil.copy(self.folder / "key", folder / "key")
             shutil.copy(self.folder / "workers.json5", folder / "workers.json5")
             duplicate = StormRouter(
-                self.storm,
+                self.scenario,
                 1000 + router.number,
                 folder,
                 choose_udp_port(self.udp_ports, self.rng),
@@ -246,7 +246,7 @@
 
     async def _noise(self, fault, targets):
         """Sends each router `size` invalid datagrams per second: corrupt or replayed ones, and those of another cluster."""
-        rng, loop = Random(f"{self.storm.seed} noise"), asyncio.get_running_loop()
+        rng, loop = Random(f"{self.scenario.seed} noise"), asyncio.get_running_loop()
         foreign_seal = Seal("elsewhere", (self.folder / "key").read_bytes(), "stranger", rng)
         end, sent_count = loop.time() + fault.for_s, 0
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -304,13 +304,13 @@
     return sorted(entries, key=lambda entry: entry[0])
 
 
-async def run_storm(storm, progress=lambda text: None, folder=None, mutant=""):
+async def run_storm(scenario, progress=lambda text: None, folder=None, mutant=""):
     """Runs a scenario; returns (evidence, number of requests that found no router, the StormRun, log entries)."""
     temporary = tempfile.TemporaryDirectory(prefix="rp-storm-") if folder is None else None
     folder = Path(folder or temporary.name)
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        run = StormRun(storm, folder, progress, mutant)
+        run = StormRun(scenario, folder, progress, mutant)
         evidence, unsent = await run.play()
         return evidence, unsent, run, read_logs(folder)
     finally:
