--- a/ramppulley/load/beat.py
+++ b/ramppulley/load/beat.py
@@ -36,7 +36,7 @@
 
 
 def scheduling_delay_s(pid):
-    """The total time for which a process was ready to run and had no processor; None where the system does not report it."""
+    """How long a process has been ready to run without a processor, in total; None if the system does not report it."""
     try:
         with open(f"/proc/{pid}/schedstat") as file:
             return int(file.read().split()[1]) / 1e9
--- a/ramppulley/load/client.py
+++ b/ramppulley/load/client.py
@@ -23,9 +23,8 @@
     first: float | None = None
     ended: float = 0.0
     done: bool = False  # a complete response: a stream up to its [DONE], or a body of full length
-    fault: str = (
-        ""  # empty, or what went wrong: "cut", "gave up", "error event", "bad answer: ..." or the name of an OSError
-    )
+    # Empty, or what went wrong: "cut", "gave up", "error event", "bad answer: ..." or the class name of an OSError
+    fault: str = ""
 
     def json(self):
         return msgspec.json.decode(self.body)
--- a/ramppulley/load/evidence.py
+++ b/ramppulley/load/evidence.py
@@ -29,7 +29,7 @@
         held.until, held.how = None, ""
 
 
-def gather_evidence(requests, fleet, routers, event_loop, settings, starvation):
+def gather_evidence(requests, fleet, routers, event_loop_monitor, settings, starvation_monitor):
     """The evidence of a run that has ended. `settings`: those of any router of the run."""
     rules = demo_orders(**settings).rules
     return Evidence(
@@ -44,8 +44,8 @@
         windows=_idempotency_windows(),
         unreachable=_unreachable_spans(fleet),
         away=[(router.number, since, until) for router in routers for since, until in router.away],
-        starved=starvation.starved,
-        stood=event_loop.stalls,
+        starved=starvation_monitor.starved,
+        stood=event_loop_monitor.stalls,
         drain_grace=int(rules.drain_grace_s * S),
         let_go_within=int(rules.let_go_within_s * S),
         sends=MAX_ATTEMPTS,
--- a/ramppulley/load/run.py
+++ b/ramppulley/load/run.py
@@ -30,7 +30,7 @@
             routers = [ProcessRouter(each, path, policy) for each in settings]
         run = ScenarioRun(scenario, plan, fleet, routers, progress)
         await run.run(policy)
-    return gather_evidence(run.requests, fleet, routers, run.event_loop, settings[0], run.starvation)
+    return gather_evidence(run.requests, fleet, routers, run.event_loop_monitor, settings[0], run.starvation_monitor)
 
 
 @contextmanager
@@ -53,8 +53,8 @@
         self.routers = routers
         self.progress = progress
         self.requests = []
-        self.event_loop = EventLoopMonitor()
-        self.starvation = CpuStarvationMonitor(self._router_pids)
+        self.event_loop_monitor = EventLoopMonitor()
+        self.starvation_monitor = CpuStarvationMonitor(self._router_pids)
         self._tasks = []
         self._start = 0.0  # on the event loop's clock
 
@@ -80,8 +80,8 @@
 
     async def _start_routers(self):
         await asyncio.gather(*(router.start() for router in self.routers))
-        self.event_loop.start()
-        self.starvation.start()
+        self.event_loop_monitor.start()
+        self.starvation_monitor.start()
 
     def _summary(self, policy):
         return (
@@ -116,6 +116,6 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*(router.stop() for router in self.routers), return_exceptions=True)
-        await self.event_loop.stop()
-        await self.starvation.stop()
+        await self.event_loop_monitor.stop()
+        await self.starvation_monitor.stop()
         await stop_fleet(self.fleet)
--- a/ramppulley/load/stormrouter.py
+++ b/ramppulley/load/stormrouter.py
@@ -57,7 +57,7 @@
         super().__init__(settings, folder)
         self.number, self.relay, self.seed, self.udp_port, self.disk_fault = number, relay, scenario.seed, port, ""
         self.mutant, self.stops_in_turns = mutant, bool(scenario.restart)
-        self.process, self.cpu_s, self.ended_at = None, 0.0, []
+        self.process, self.cpu_s, self.end_times = None, 0.0, []
 
     def command(self):
         """Runs the test entry point, which can inject faults and mutants into the router."""
@@ -83,12 +83,12 @@
 
     async def kill(self):
         self.add_cpu_time()
-        self.ended_at.append(time.time())
+        self.end_times.append(time.time())
         await super().kill()
 
     async def stop(self):
         self.add_cpu_time()
-        self.ended_at.append(time.time())
+        self.end_times.append(time.time())
         if self.stops_in_turns and self.is_alive():
             self.process.kill()  # the run is over: do not wait for the routers to stop in turns
         await super().stop()
--- a/ramppulley/load/stormrun.py
+++ b/ramppulley/load/stormrun.py
@@ -53,7 +53,7 @@
 
     async def start_router(self, router):
         await router.start()
-        if router.number < 1000:
+        if router.number < 1000:  # duplicates have higher numbers and serve no clients
             self.load_balancer.add(router)
 
     async def play(self):
@@ -66,8 +66,8 @@
         fleet.lag = scenario.fleet.list_lag_s
         for number in range(scenario.routers):
             self.create_router(number)
-        event_loop = EventLoopMonitor()
-        starvation = CpuStarvationMonitor(
+        event_loop_monitor = EventLoopMonitor()
+        starvation_monitor = CpuStarvationMonitor(
             lambda: {r.number: r.process.pid for r in self.routers.values() if r.is_alive()}
         )
         gc.collect()
@@ -75,8 +75,8 @@
         try:
             await asyncio.gather(*(self.start_router(r) for r in list(self.routers.values())))
             await asyncio.sleep(scenario.warm_s if scenario.peers else 0.0)
-            event_loop.start()
-            starvation.start()
+            event_loop_monitor.start()
+            starvation_monitor.start()
             injector, start = FaultInjector(fleet, scenario.seed), loop.time() + 0.1
             self.started_at = time.time() + 0.1
             self.cpu_before = {r.name: self._current_cpu_time(r) for r in self.routers.values()}
@@ -109,12 +109,17 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*(r.stop() for r in self.routers.values() if r.process), return_exceptions=True)
-            await event_loop.stop()
-            await starvation.stop()
+            await event_loop_monitor.stop()
+            await starvation_monitor.stop()
             self.relay.stop()
             await stop_fleet(fleet)
         evidence = gather_evidence(
-            requests, fleet, list(self.routers.values()), event_loop, router_settings(scenario), starvation
+            requests,
+            fleet,
+            list(self.routers.values()),
+            event_loop_monitor,
+            router_settings(scenario),
+            starvation_monitor,
         )
         unsent = len(plan) - len(requests)
         return evidence, unsent
