--- a/ramppulley/cluster/showing.py
+++ b/ramppulley/cluster/showing.py
@@ -1,4 +1,5 @@
-"""Serves a router's membership view in pages, and the operator's switch, to clients that hold the cluster key. No I/O."""
+"""State machines for operators' tools, which hold the cluster key: one serves the membership view in pages, the other
+switches signals and leases on and off. No I/O."""
 
 from collections.abc import Callable
 
@@ -27,11 +28,9 @@
     rows: list[Row]
 
 
-_request_decoder, _page_decoder, _encoder = (
-    msgspec.msgpack.Decoder(PageRequest),
-    msgspec.msgpack.Decoder(Page),
-    msgspec.msgpack.Encoder(),
-)
+_request_decoder = msgspec.msgpack.Decoder(PageRequest)
+_page_decoder = msgspec.msgpack.Decoder(Page)
+_encoder = msgspec.msgpack.Encoder()
 
 
 class Showing:
@@ -69,7 +68,7 @@
 
 
 class Switch:
-    """Enables or disables signals and turns on an operator's command. `on_switch(enabled)` applies it."""
+    """Enables or disables signals and leases when an operator sends the command. `on_switch(enabled)` applies it."""
 
     def __init__(self, on_switch: Callable[[bool], None]) -> None:
         self.on_switch = on_switch
@@ -79,7 +78,7 @@
         """Handles one command; any other payload is ignored."""
         if payload in (b"on", b"off"):
             self.on_switch(payload == b"on")
-            self.out.append((address, payload))  # acknowledges the command
+            self.out.append((address, payload))  # tells the operator which routers received the command
 
     def due(self) -> int:
         """When `tick` has to be called next."""
--- a/ramppulley/cluster/signals.py
+++ b/ramppulley/cluster/signals.py
@@ -9,7 +9,7 @@
 the worker that was idle a moment ago. So a router's report is weighted by an upper bound of its last datagram's transit
 time and by the time since then; the missing weight is left to the estimate that is used without signals. The transit time
 is bounded by echoes, as in NTP (RFC 5905): a datagram sent at the peer's time t and received at our time was in transit for
-no longer than the difference, less the smallest clock difference that an echo allows.
+no longer than the difference, less the lower bound of the clock offset that the echoes give.
 """
 
 from collections import Counter
@@ -33,10 +33,9 @@
 MAX_PEERS, MAX_ROWS = 512, 1024  # peers tracked; rows kept per peer
 TRUST_LOSS_FACTOR, TRUST_RECOVERY = 0.6, 0.02  # factor for a refuted claim; part of the missing trust per plausible one
 TRUST_MIN = 0.5  # weight above which a peer's success at a worker allows a half-open probe
-REFUTED_RATIO, REFUTED_TOKENS = (
-    3,
-    4000,
-)  # refuted: one router claims this multiple of what is queued, and this much more
+# a claim is refuted if one router claims both this multiple of what is queued and this many tokens more
+REFUTED_RATIO = 3
+REFUTED_TOKENS = 4000
 EXPLAINED_SMOOTHING = 0.05  # weight of the newest report in the average of the queue that the claims explain
 MIN_KNOWN = 0.1  # share of the other routers that must be heard for signals to be used
 NEVER = 1 << 62
@@ -161,9 +160,8 @@
 
     def peer_load(self, known: float, confidence: float) -> PeerLoad:
         """The claims, extrapolated from the known share of the routers to all of them."""
-        ill = (
-            round(self.failure_percent / self.tried_weight / 100, 2) if self.tried_count > 1 else 0.0
-        )  # never by one alone
+        # a single router's report never marks a worker as failing
+        ill = round(self.failure_percent / self.tried_weight / 100, 2) if self.tried_count > 1 else 0.0
         return PeerLoad(round(self.prefill_tokens / known), round(self.kv_tokens / known), confidence, ill, self.well)
 
 
@@ -212,10 +210,8 @@
         present = self.present_peers()
         for name in [name for name in self.peers if name not in present]:
             del self.peers[name]  # a peer that ended has no load, and starts from scratch if it returns
-        self.tokens, self.tokens_updated_at = (
-            min(float(BURST), self.tokens + (now - self.tokens_updated_at) * PER_SECOND / S),
-            now,
-        )
+        self.tokens = min(float(BURST), self.tokens + (now - self.tokens_updated_at) * PER_SECOND / S)
+        self.tokens_updated_at = now
         if self.broadcast_at is not None and now >= self.broadcast_at:
             self.broadcast_at, rows = None, self._rows_to_send()
             useful = self.known(now) >= MIN_KNOWN  # peers whose datagrams reach us too late hardly receive ours in time
@@ -351,7 +347,10 @@
         return loads
 
     def honest(self) -> float:
-        """How far the claims explain the queues that workers report: routers that hide load reduce the confidence."""
+        """How far the claims explain the queues that workers report, from 0 to 1: 1 if they explain half or more.
+
+        Routers that hide load reduce the confidence in all signals.
+        """
         return 1.0 if self.queued_average < 1 else min(1.0, 2 * self.explained_average / self.queued_average)
 
 
--- a/ramppulley/cluster/snapshot.py
+++ b/ramppulley/cluster/snapshot.py
@@ -14,6 +14,8 @@
 
 
 class Kept(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """Content of the snapshot file."""
+
     cluster: str
     name: str
     highest: int  # the highest incarnation that may have been used
--- a/ramppulley/cluster/subsets.py
+++ b/ramppulley/cluster/subsets.py
@@ -13,14 +13,17 @@
 from math import ceil, floor, log, log2
 from zlib import crc32
 
-MIX, MIX_MORE, WORD = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93, 0xFFFFFFFFFFFFFFFF
+# odd multipliers that mix the bits of a hash, and the mask that keeps 64 of them
+MULTIPLIER_1 = 0x9E3779B97F4A7C15
+MULTIPLIER_2 = 0xD6E8FEB86659FD93
+MASK_64 = 0xFFFFFFFFFFFFFFFF
 GUARANTEED_ROUTERS = 2  # routers that use a worker whatever the fraction is
 MIN_MEAN_ROUTERS = 8  # mean number of routers per worker that is kept: with fewer the load would be uneven
 MIN_PER_ROLE = 2  # prefill workers, and decode workers, used of each group that is used at all
 MIN_GROUPS = 2  # groups that a router uses, if there are that many
 ZONE_SLACK = 1.1  # a zone's workers may get this multiple of their even share before its routers use other zones
 ZONE_STEPS = 16  # granularity of the traffic share kept in a zone, so that a small traffic change moves no subset
-FITTING_ROUNDS = 12  # measured: the most loaded worker is within 1.02 of its share after 8
+FITTING_ROUNDS = 12  # measured: after 8, the most loaded worker gets at most 1.02 times its share
 MIN_WEIGHT = 1e-3  # of a worker that is used at all
 TRAFFIC_HYSTERESIS = 0.75  # change of the traffic's binary logarithm before it is announced anew, against flapping
 FRACTION_HYSTERESIS = 0.8  # a fraction is kept down to this share of what choosing it requires, against flapping
@@ -53,14 +56,14 @@
     >>> mark_of("r0") == mark_of("r0") != mark_of("r1")
     True
     """
-    return crc32(name.encode()) * MIX & WORD
+    return crc32(name.encode()) * MULTIPLIER_1 & MASK_64
 
 
 def lot(router: int, worker: int) -> float:
     """Rendezvous hash of a router's and a worker's hash, uniform from 0 to 1."""
-    mixed = ((router ^ worker * MIX_MORE) * MIX) & WORD
-    mixed = ((mixed ^ mixed >> 29) * MIX_MORE) & WORD
-    mixed = ((mixed ^ mixed >> 32) * MIX) & WORD
+    mixed = ((router ^ worker * MULTIPLIER_2) * MULTIPLIER_1) & MASK_64
+    mixed = ((mixed ^ mixed >> 29) * MULTIPLIER_2) & MASK_64
+    mixed = ((mixed ^ mixed >> 32) * MULTIPLIER_1) & MASK_64
     return (mixed >> 11) / 2**53
 
 
--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -91,6 +91,7 @@
         self.past_views: list[tuple[int, frozenset[str]]] = []  # recent (end, names)
 
     def _lease_time_with_margin(self) -> int:
+        """Lease time by the coordinator's clock: with clock drift, and a clock step too short to be noticed."""
         return int(LEASE_TIME * (1 + CLOCK_DRIFT)) + STALL_TIME
 
     # Called by the host
@@ -100,7 +101,7 @@
             self.wanted[resource] = LeaseRequest(now, permits)
 
     def leave(self, now: int, resource: str) -> None:
-        """Withdraws the request, and releases the lease if we hold it."""
+        """Cancels the request, and releases the lease if we hold it."""
         request = self.wanted.pop(resource, None)
         if request is not None and now < request.expires_at:
             self._send(request.coordinator, LeaseMessage(VERSION, "done", resource, request.number), now)
@@ -199,7 +200,9 @@
                 del holders[sender]
         elif message.kind in ("give", "wait"):
             request = self.wanted.get(message.resource)
-            if request is None or request.number != message.number:  # an older request started at another time
+            if (
+                request is None or request.number != message.number
+            ):  # answers an older request: a lease is counted from its own request
                 self.count["late"] += 1
             elif message.kind == "give":
                 request.expires_at = request.requested_at + int(LEASE_TIME * (1 - CLOCK_DRIFT))
--- a/ramppulley/cluster/words.py
+++ b/ramppulley/cluster/words.py
@@ -1,4 +1,4 @@
-"""Wire format of the membership protocol: one MessagePack array per datagram, small enough for every network path.
+"""Wire format of the membership protocol: one MessagePack array per datagram, sized for the minimum MTU of IPv6.
 
 SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2017).
 """
@@ -8,7 +8,9 @@
 
 import msgspec
 
-MAX_PAYLOAD_SIZE = 1_200  # bytes of a datagram's payload: with header and tag it fits the minimum MTU of IPv6
+# bytes of a datagram's payload: IPv6's minimum MTU of 1,280 less room for IP and UDP headers and a tag; the datagram
+# header of `seal` isn't counted
+MAX_PAYLOAD_SIZE = 1_200
 VERSION = 2
 MAX_TRAFFIC_LEVEL = 24  # binary logarithm of requests per second
 Address = tuple[str, int]
@@ -31,7 +33,8 @@
 
 
 class Packet(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """One datagram. `ping` is answered by `ack`; `ask` requests an indirect probe of `target`, answered by `ack` or `nack`.
+    """One datagram. `ping` is answered by `ack`; `ask` requests an indirect probe of `target`, answered by `ack`, or by
+    `nack` before the requester's probe times out.
 
     `sync` carries part of the sender's view and is answered by `view` with part of the receiver's view; `tell` carries
     updates only.
--- a/ramppulley/daemon/cluster/cluster.py
+++ b/ramppulley/daemon/cluster/cluster.py
@@ -26,10 +26,11 @@
 
 
 class Cluster:
-    """A router as a member of a cluster. `notify(changed)` is called with [(pool, endpoint)] whose subset place changed.
+    """A router as a member of a cluster. `notify(changed)` is called with the [(pool, endpoint)] that entered or
+    left the subset, or whose weight in it changed.
 
     Raises InvalidFileError, with the field's name, before anything listens. `disk`, `socket` and `rng` default to the
-    operating system's; tests replace them.
+    operating system's; tests replace them. `where` names the settings file in errors.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         settings, name = self.settings, self.orders.name
         sock = self.make_socket(settings.host, settings.port)
         self.seal = Seal(settings.cluster, self.key, name, self.rng, lambda: self.members.incarnation)
-        self.datagrams = Datagrams(self.seal, self.clock, sock, self._on_turn)
+        self.datagrams = Datagrams(self.seal, self.clock, sock, self._on_run)
         self.members = Members(
             Identity(name, self.datagrams.address, settings.machine, self.orders.zone),
             self.rng,
@@ -125,8 +126,8 @@
         if self.signals is not None or self.turns is not None:
             self.tasks.append(loop.create_task(self._share()))
 
-    def _on_turn(self):
-        """Called after a state machine handled a datagram or a timer."""
+    def _on_run(self):
+        """Called after the state machines handled datagrams or timers."""
         if self.events.log_state_changes():
             self.subsets.changed = True
         self.events.log_duplicates()
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -11,7 +11,10 @@
 
 
 class SubsetSelection:
-    """Connects `cluster.subsets` to the list of workers. `notify` gets [(pool, endpoint)] with a changed subset place."""
+    """Connects `cluster.subsets` to the list of workers.
+
+    `notify` gets the [(pool, endpoint)] that entered or left the subset, or whose weight in it changed.
+    """
 
     def __init__(self, orders, clock, fleet, cores, members, datagrams, notify, log, measured_at):
         self.name = orders.name
--- a/ramppulley/daemon/daemon.py
+++ b/ramppulley/daemon/daemon.py
@@ -190,7 +190,8 @@
             self.engines.expire_idle()
 
     async def stop(self):
-        """Accepts no more requests; those accepted are answered, within `stop_within_s`."""
+        """In a cluster with leases, waits for a permit to stop. Then accepts no more requests, and answers those accepted,
+        within `stop_within_s`."""
         if self.front is None:
             return
         if self.cluster is not None:
--- a/ramppulley/peers/datagrams.py
+++ b/ramppulley/peers/datagrams.py
@@ -33,10 +33,20 @@
     """
 
     def __init__(self, seal, clock, sock, on_run):
-        self.seal, self.clock, self.sock, self.on_run, self.machines = seal, clock, sock, on_run, {}
+        self.seal = seal
+        self.clock = clock
+        self.sock = sock
+        self.on_run = on_run
+        self.machines = {}
         self.address = sock.getsockname()[:2]
-        self.timer, self.loop, self.due_at, self.sent, self.bytes, self.send_failures = None, None, 0, 0, 0, 0
-        self.due_times, self.changed_kinds = {}, set()  # cached due times by kind; kinds whose cached time is outdated
+        self.timer = None
+        self.loop = None
+        self.due_at = 0  # when the timer runs the machines next
+        self.sent = 0  # datagrams
+        self.bytes = 0  # of those
+        self.send_failures = 0
+        self.due_times = {}  # cached due times by kind
+        self.changed_kinds = set()  # kinds whose cached due time is outdated
 
     def start(self):
         self.loop = asyncio.get_running_loop()
--- a/ramppulley/store/log.py
+++ b/ramppulley/store/log.py
@@ -3,8 +3,8 @@
 `open_log` reads the existing log before the router listens. `Log.append` returns once its record is flushed; records that
 arrive during a flush are written together in the next one (group commit), in a separate thread, so that the event loop never
 waits for the disk. A failed flush is never retried, as a kernel may drop the pages it could not write and report success for
-the next one (Rebello and others, Can Applications Recover from fsync Failures, ATC 2020): its segment is closed at the last
-confirmed record, and later records, none of which was confirmed, go into a new segment.
+the next one (Rebello and others, Can Applications Recover from fsync Failures, ATC 2020): `append` raises OSError for its
+records, none of which was confirmed, and the next records go into a new segment, numbered on from the last confirmed one.
 """
 
 import asyncio
@@ -61,7 +61,8 @@
 @dataclass
 class LogContent:
     """Content of a log when it was opened. `new`: there was no log. `rots`: ranges of confirmed records that can't be read.
-    `torn`: size of unconfirmed records after the last one; they stay on disk, and the next segment's name supersedes them.
+    `torn`: bytes of unconfirmed records after the last one; they stay on disk, and are ignored from the next segment's first
+    number on.
     """
 
     records: list = field(default_factory=list)
@@ -159,13 +160,25 @@
         max_segment_size=8 << 20,
         max_pending=10_000,
     ):
-        self.folder, self.identity, self.disk, self.segments, self.epoch = folder, identity, disk, segments, epoch
-        # checksum of the last valid frame; number of the next record; all before `flushed` are flushed
-        self.checksum, self.number, self.flushed = checksum, number, number
-        self.max_segment_size, self.max_pending = max_segment_size, max_pending
-        self.pending, self.commit_task, self.file, self.size = [], None, None, 0
-        self.executor, self.fatal_error = ThreadPoolExecutor(1, "log"), None
-        self.flushes, self.failures, self.bytes = 0, 0, 0
+        self.folder = folder
+        self.identity = identity
+        self.disk = disk
+        self.segments = segments
+        self.epoch = epoch
+        self.checksum = checksum  # of the last valid frame
+        self.number = number  # of the next record
+        self.flushed = number  # all records before this number are flushed
+        self.max_segment_size = max_segment_size
+        self.max_pending = max_pending
+        self.pending = []  # (kind, payload, future of the number)
+        self.commit_task = None
+        self.file = None  # of the current segment
+        self.size = 0  # of that file
+        self.executor = ThreadPoolExecutor(1, "log")
+        self.fatal_error = None  # (errno, text) after which the log accepts no more records
+        self.flushes = 0
+        self.failures = 0  # failed writes and flushes since the log was opened
+        self.bytes = 0  # written
 
     async def append(self, kind, payload):
         """Returns the record's number once it is flushed.
