--- a/ramppulley/cluster/seal.py
+++ b/ramppulley/cluster/seal.py
@@ -17,7 +17,7 @@
 from ramppulley.cluster.words import MAX_PAYLOAD_SIZE
 
 VERSION = 1
-TAG, MAGIC = 16, b"RP"
+TAG, MAGIC = 16, b"RP"  # size of the tag in bytes; first bytes of each datagram
 MOST = 1_400  # maximum datagram size in bytes, with header and tag: below the Ethernet MTU
 KEY_LEAST, KEY_MOST = 16, 64  # minimum and maximum key size in bytes
 RUN_ID_BITS = 62
--- a/ramppulley/cluster/signals.py
+++ b/ramppulley/cluster/signals.py
@@ -38,7 +38,7 @@
 REFUTED_TOKENS = 4000
 EXPLAINED_SMOOTHING = 0.05  # weight of the newest report in the average of the queue that the claims explain
 MIN_KNOWN = 0.1  # share of the other routers that must be heard for signals to be used
-NEVER = 1 << 62
+MAX_TIME = 1 << 62  # upper bound of times in a datagram
 NOT_TRIED = -1  # failure level of a worker that the sender did not use recently
 MAX_TOKENS = 1 << 32
 
@@ -376,9 +376,9 @@
 def within_bounds(message: SignalMessage) -> bool:
     """Whether all numbers of a datagram are within their valid ranges."""
     return (
-        0 <= message.sent_at < NEVER
-        and 0 <= message.echo < NEVER
-        and 0 <= message.echo_age < NEVER
+        0 <= message.sent_at < MAX_TIME
+        and 0 <= message.echo < MAX_TIME
+        and 0 <= message.echo_age < MAX_TIME
         and all(
             0 <= row.mark < 1 << 32
             and NOT_TRIED <= row.failure_percent <= 100
--- a/ramppulley/cluster/subsets.py
+++ b/ramppulley/cluster/subsets.py
@@ -181,6 +181,7 @@
             )
             for group, places in self.groups.items()
         }
+        # weighted rendezvous hashing: a group comes first with a probability in proportion to its weight
         order = sorted(
             [group for group in group_weights if group_weights[group]],
             key=lambda g: -log(1 - lot(mark, g)) / group_weights[g],
--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -31,7 +31,7 @@
 STALL_TIME = 1 * S  # a longer gap between ticks is a suspended process or a clock step; shorter steps go unnoticed
 MAX_RESOURCES, MAX_PERMITS, MAX_NAME_LENGTH = 1024, 64, 64  # of a coordinator; of one resource; of its name
 MAX_PAST_VIEWS = 32  # earlier sets of present members that are kept
-NEVER = 1 << 62
+NEVER = 1 << 62  # -NEVER is earlier than any time
 
 
 class LeaseMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -111,7 +111,7 @@
         return resource in self.wanted and now < self.wanted[resource].expires_at
 
     def may(self, now: int, resource: str) -> bool:
-        """Whether to act: we hold the lease, or no coordinator answers."""
+        """Whether to act: we hold the lease, or no coordinator has answered for FALLBACK_DELAY."""
         request = self.wanted.get(resource)
         if request is None or now < request.expires_at:
             return request is not None
--- a/ramppulley/daemon/cluster/signal_exchange.py
+++ b/ramppulley/daemon/cluster/signal_exchange.py
@@ -19,7 +19,7 @@
         self.datagrams = datagrams
         self.machine = signals.Signals(self._own_rows, present.addresses, rng, now)
         self.updated_at = 0
-        self.reported_at = {}  # endpoint id -> time of the newest worker report that peer claims were checked against
+        self.reported_at = {}  # endpoint ID -> time of the newest worker report that peer claims were checked against
         for core in cores().values():
             core.before_decision, core.attempts_changed = self.update_policies, self.own_attempts_changed
 
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -86,7 +86,7 @@
         return pools
 
     def _compute_subsets(self, own, peers, pools, previous_fractions):
-        """{pool: (fraction, {endpoint id: weight in the subset})}; no weights if the whole list is used."""
+        """{pool: (fraction, {endpoint ID: weight in the subset})}; no weights if the whole list is used."""
         results = {}
         for pool, places in pools.items():
             fraction = part_of(len(peers), len(places), self.subset.workers_least, previous_fractions.get(pool, 1.0))
--- a/ramppulley/peers/datagrams.py
+++ b/ramppulley/peers/datagrams.py
@@ -95,7 +95,7 @@
             self._schedule(due)
 
     def soon(self, kind, at):
-        """The due time of this machine may have moved forward to `at`."""
+        """The host changed the state of this machine: it may be due earlier now, at `at`."""
         self.changed_kinds.add(kind)
         if self.loop is not None and at < self.due_at:
             self.timer.cancel()
