--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -31,7 +31,7 @@
 STALL_TIME = 1 * S  # a longer gap between ticks is a suspended process or a clock step; shorter steps go unnoticed
 MAX_RESOURCES, MAX_PERMITS, MAX_NAME_LENGTH = 1024, 64, 64  # of a coordinator; of one resource; of its name
 MAX_PAST_VIEWS = 32  # earlier sets of present members that are kept
-NEVER = 1 << 62
+NEVER = 1 << 62  # -NEVER is earlier than any time
 
 
 class LeaseMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -91,6 +91,7 @@
         self.past_views: list[tuple[int, frozenset[str]]] = []  # recent (end, names)
 
     def _lease_time_with_margin(self) -> int:
+        """Lease time by the coordinator's clock: with clock drift, and a clock step too short to be noticed."""
         return int(LEASE_TIME * (1 + CLOCK_DRIFT)) + STALL_TIME
 
     # Called by the host
@@ -100,7 +101,7 @@
             self.wanted[resource] = LeaseRequest(now, permits)
 
     def leave(self, now: int, resource: str) -> None:
-        """Withdraws the request, and releases the lease if we hold it."""
+        """Cancels the request, and releases the lease if we hold it."""
         request = self.wanted.pop(resource, None)
         if request is not None and now < request.expires_at:
             self._send(request.coordinator, LeaseMessage(VERSION, "done", resource, request.number), now)
@@ -110,7 +111,7 @@
         return resource in self.wanted and now < self.wanted[resource].expires_at
 
     def may(self, now: int, resource: str) -> bool:
-        """Whether to act: we hold the lease, or no coordinator answers."""
+        """Whether to act: we hold the lease, or no coordinator has answered for FALLBACK_DELAY."""
         request = self.wanted.get(resource)
         if request is None or now < request.expires_at:
             return request is not None
@@ -199,7 +200,9 @@
                 del holders[sender]
         elif message.kind in ("give", "wait"):
             request = self.wanted.get(message.resource)
-            if request is None or request.number != message.number:  # an older request started at another time
+            if (
+                request is None or request.number != message.number
+            ):  # answers an older request: a lease is counted from its own request
                 self.count["late"] += 1
             elif message.kind == "give":
                 request.expires_at = request.requested_at + int(LEASE_TIME * (1 - CLOCK_DRIFT))
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -11,7 +11,10 @@
 
 
 class SubsetSelection:
-    """Connects `cluster.subsets` to the list of workers. `notify` gets [(pool, endpoint)] with a changed subset place."""
+    """Connects `cluster.subsets` to the list of workers.
+
+    `notify` gets the [(pool, endpoint)] that entered or left the subset, or whose weight in it changed.
+    """
 
     def __init__(self, orders, clock, fleet, cores, members, datagrams, notify, log, measured_at):
         self.name = orders.name
@@ -83,7 +86,7 @@
         return pools
 
     def _compute_subsets(self, own, peers, pools, previous_fractions):
-        """{pool: (fraction, {endpoint id: weight in the subset})}; no weights if the whole list is used."""
+        """{pool: (fraction, {endpoint ID: weight in the subset})}; no weights if the whole list is used."""
         results = {}
         for pool, places in pools.items():
             fraction = part_of(len(peers), len(places), self.subset.workers_least, previous_fractions.get(pool, 1.0))
