--- a/ramppulley/check/replay.py
+++ b/ramppulley/check/replay.py
@@ -77,7 +77,7 @@
 
 
 def replay(path, router_class, compare=True):
-    """Replays a record, or all records of a folder merged by time, through a version of the module.
+    """Replays a record, or all records of a folder in one process, merged by time, through a version.
 
     Raises Difference at the first step that differs. Returns {event: (count, seconds of CPU)}; the CPU is of the module
     alone, without the comparison.
--- a/ramppulley/check/rules.py
+++ b/ramppulley/check/rules.py
@@ -56,67 +56,70 @@
     return end - start - paused
 
 
-def is_excused(evidence, asked):
+def is_excused(evidence, request):
     """Whether the request's router was killed or stopped while it had the request."""
     return any(
-        router == asked.router and start <= max(asked.ended, asked.sent) + SLACK and asked.sent - SLACK <= end
+        router == request.router and start <= max(request.ended, request.sent) + SLACK and request.sent - SLACK <= end
         for router, start, end in [*[(router, at, at) for router, at in evidence.killed], *evidence.away]
     )
 
 
 def one_answer(evidence, attempts):
     """Rule 1: one final response before the client leaves, and no attempt after that."""
-    for asked in evidence.asked:
-        if asked.how in ("lost", "") and not is_excused(evidence, asked):
-            yield Breach(1, asked.name, f"no final answer in {asked.patience / 10_000:.2f} s; {asked.why}")
-        if asked.finals > 1:
-            yield Breach(1, asked.name, f"{asked.finals} final answers")
-        if not asked.in_order:
-            yield Breach(1, asked.name, "tokens missing, doubled or out of order")
-        for entry in attempts[asked.name]:
+    for request in evidence.asked:
+        if request.how in ("lost", "") and not is_excused(evidence, request):
+            yield Breach(1, request.name, f"no final answer in {request.patience / 10_000:.2f} s; {request.why}")
+        if request.finals > 1:
+            yield Breach(1, request.name, f"{request.finals} final answers")
+        if not request.in_order:
+            yield Breach(1, request.name, "tokens missing, doubled or out of order")
+        for entry in attempts[request.name]:
             if (
-                asked.ended
-                and asked.how != "unreached"
-                and running_time(evidence, asked.ended, entry.arrived, asked.router) > SLACK
+                request.ended
+                and request.how != "unreached"
+                and running_time(evidence, request.ended, entry.arrived, request.router) > SLACK
             ):
                 yield Breach(
                     1,
-                    asked.name,
-                    f"sent to {entry.engine} {(entry.arrived - asked.ended) / 10:.0f} ms after it was {asked.how}",
+                    request.name,
+                    f"sent to {entry.engine} {(entry.arrived - request.ended) / 10:.0f} ms after it was {request.how}",
                 )
 
 
 def no_effect_twice(evidence, attempts):
-    """Rule 2: an effect at most once, repeats by key only in their scope and window, four attempts, one open at a time."""
-    for asked in evidence.asked:
-        entries = attempts[asked.name]
+    """Rule 2: an effect at most once, repeats by key only in their scope and window, one attempt open at a time.
+
+    Also limits the number of attempts to `evidence.sends`, four by default.
+    """
+    for request in evidence.asked:
+        entries = attempts[request.name]
         if len(entries) > evidence.sends:
-            yield Breach(2, asked.name, f"{len(entries)} sends")
+            yield Breach(2, request.name, f"{len(entries)} sends")
         for before, after in zip(entries, entries[1:]):
-            if before.ended is None or running_time(evidence, after.arrived, before.ended, asked.router) > SLACK:
-                yield Breach(2, asked.name, f"out at {before.engine} and {after.engine} at once")
+            if before.ended is None or running_time(evidence, after.arrived, before.ended, request.router) > SLACK:
+                yield Breach(2, request.name, f"out at {before.engine} and {after.engine} at once")
         may_have_run = [e for e in entries if e.what != "read" and e.how not in ("full", "no_state")]
         for entry in (e for e in entries if e.what != "read"):
             earlier = [e for e in may_have_run if e.arrived < entry.arrived]
-            if earlier and asked.effect == "effectful":
-                yield Breach(2, asked.name, f"sent to {entry.engine} though it may have run at {earlier[0].engine}")
-            if earlier and asked.effect == "receipted":
-                group, window = evidence.windows.get(asked.use_case, ("all", 0))
+            if earlier and request.effect == "effectful":
+                yield Breach(2, request.name, f"sent to {entry.engine} though it may have run at {earlier[0].engine}")
+            if earlier and request.effect == "receipted":
+                group, window = evidence.windows.get(request.use_case, ("all", 0))
                 scope_of = {
                     "all": lambda e: 0,
                     "cell": lambda e: evidence.places[e.engine][0],
                     "zone": lambda e: evidence.places[e.engine][1],
                 }[group]
                 if any(scope_of(e) != scope_of(entry) for e in earlier):
-                    yield Breach(2, asked.name, f"repeated at {entry.engine}, outside its {group}")
+                    yield Breach(2, request.name, f"repeated at {entry.engine}, outside its {group}")
                 if entry.arrived - earlier[0].arrived > window + SLACK:
-                    yield Breach(2, asked.name, "repeated after its receipt's window")
+                    yield Breach(2, request.name, "repeated after its receipt's window")
         if (
-            asked.how == "turned back"
-            and asked.effect == "effectful"
+            request.how == "turned back"
+            and request.effect == "effectful"
             and any(e.ran and e.what != "read" for e in entries)
         ):
-            yield Breach(2, asked.name, "told that trying again is harmless, though it ran")
+            yield Breach(2, request.name, "told that trying again is harmless, though it ran")
 
 
 def drains_respected(evidence, attempts):
@@ -166,10 +169,8 @@
 
 def holds_released(evidence, attempts):
     """Rule 5: a KV state or reservation is used or released in time once its request has no open attempt."""
-    excused, routers = (
-        {a.name for a in evidence.asked if is_excused(evidence, a)},
-        {a.name: a.router for a in evidence.asked},
-    )
+    excused = {a.name for a in evidence.asked if is_excused(evidence, a)}
+    routers = {a.name: a.router for a in evidence.asked}
     for held in evidence.held:
         name = request_name_of(held.request if "-s" in held.request else held.request + "-s0")
         if held.how == "died" or name in excused:
@@ -201,17 +202,17 @@
 def table(evidence):
     """For each kind and request class: the number of requests by outcome, and the share served in time (`service`)."""
     rows = {}
-    for asked in evidence.asked:
+    for request in evidence.asked:
         row = rows.setdefault(
-            (asked.kind, asked.use_case),
+            (request.kind, request.use_case),
             dict.fromkeys(("taken", "in_time", "late", "turned_back", "scrapped", "left", "lost", "unreached"), 0)
             | {"service": 0.0},
         )
-        row["taken"] += asked.how != "unreached"
-        how = asked.how
+        row["taken"] += request.how != "unreached"
+        how = request.how
         if how == "fulfilled":
-            how = "in_time" if asked.in_time() else "late"
-        elif how == "lost" and is_excused(evidence, asked):
+            how = "in_time" if request.in_time() else "late"
+        elif how == "lost" and is_excused(evidence, request):
             how = "unreached"
         row[how.replace(" ", "_")] += 1
     for row in rows.values():
--- a/ramppulley/load/rings.py
+++ b/ramppulley/load/rings.py
@@ -155,6 +155,7 @@
 
 
 def rows(sizes, fleets=FLEETS):
+    """One row for each fleet, number of routers and method."""
     for fleet_size in fleets:
         for router_count in sizes:
             for method in KINDS:
--- a/ramppulley/load/soak/oracle.py
+++ b/ramppulley/load/soak/oracle.py
@@ -1,4 +1,4 @@
-"""The test oracle: checks each invariant, with its own limit and slack, on the observations of a run. Performs no I/O.
+"""The test oracle: checks each invariant, with its own limit and slack, on what the harness observed. Performs no I/O.
 
 Only `own_faults` uses the router's log, namely the internal faults that the router reports itself. The rules and terms
 that the docstrings number are the requirements on a router.
@@ -317,7 +317,10 @@
 
 
 def events_in_time(index: EvidenceIndex) -> Iterator[str]:
-    """Term 13: events reach the client within 0.3 s after the worker wrote them, in at least nine of ten streams."""
+    """Term 13: events reach the client within 0.3 s after the worker wrote them, in at least nine of ten streams.
+
+    One late stream is always allowed.
+    """
     late, streams = [], 0
     for request in answerable_requests(index):
         ran = [a for a in index.attempts.get(request.request_id, []) if a.is_decode and a.event_times and a.fault_free]
--- a/ramppulley/load/soak/run.py
+++ b/ramppulley/load/soak/run.py
@@ -32,8 +32,8 @@
     requests: int
     completed: int
     rejected: int
-    shim: bool
-    worst_lag_s: float
+    shim: bool  # whether the library that injects system faults could be built
+    worst_lag_s: float  # of the event loop of the harness
     timelines: list[str] = field(default_factory=list)
     #: By (fault kind, phase of a request, phase of its router process).
     phases: Counter[tuple[str, str, str]] = field(default_factory=Counter)
--- a/ramppulley/standin/links.py
+++ b/ramppulley/standin/links.py
@@ -25,7 +25,7 @@
     drop: float = 0.0  # share
     delay: int = 0
     jitter: int = 0
-    double: float = 0.0  # share
+    double: float = 0.0  # share that arrives twice
     reorder: float = 0.0  # share that is delayed by `late`
     late: int = 500
     cut: bool = False
@@ -83,6 +83,7 @@
 
 def message_kind_of(data):
     """The kind of the membership message in a datagram, "" if it cannot be decoded."""
+    # The payload follows 4 fixed bytes, the last of which is the header length, and the header; the tag ends the datagram.
     try:
         return _message_prefixes.decode(data[4 + data[3] : -TAG]).kind
     except msgspec.MsgspecError:
--- a/ramppulley/standin/model.py
+++ b/ramppulley/standin/model.py
@@ -17,7 +17,7 @@
 class MachineKind:
     """The capacity and speed of a kind of machine. Speeds: tokens per second."""
 
-    role: str = "both"  # read, write, both or pool (embeddings and rerank)
+    role: str = "both"  # read (prefill), write (decode), both, or pool (embeddings and rerank)
     slots: int = 32
     queue: int = 64
     memory: int = 200_000  # tokens
@@ -60,7 +60,10 @@
 
 @dataclass
 class EngineEvent:
-    """One event of a job in a step. `what`: began, read, token, done, no_state or fell."""
+    """One event of a job in a step.
+
+    `what`: began, read (its prefill ended), token, done, or no_state (the KV state to fetch is gone).
+    """
 
     what: str
     job: Job | None
@@ -124,12 +127,12 @@
 
     def __init__(self, name, kind, kv_states, *, cell="", zone="", born=None):
         self.name, self.kind, self.kv_states, self.cell, self.zone = name, kind, kv_states, cell, zone
-        self.slower, self.down = 1.0, False
+        self.slower, self.down = 1.0, False  # `slower`: multiplies the duration of a step
         self.on_taken = lambda key, at: None  # called for each state and reservation that is used, with the time
         self.restart(born)
 
     def restart(self, born):
-        """Starts with nothing held or cached, warming up from `born` on; None = has been warm for long."""
+        """Starts with nothing held or cached, warming up from `born` on; None = warmed up long ago."""
         for key in [key for key, state in self.kv_states.states.items() if state.engine is self]:
             del self.kv_states.states[key]
         self.born, self.down, self.held_tokens = born, False, 0
@@ -148,7 +151,7 @@
         return self.held_tokens + sum(j.context for j in self.running) + sum(self.places.values())
 
     def work(self, job: Job) -> int:
-        """The time that a job alone takes a warm engine."""
+        """The time that a job costs a warm engine: its prefill, and for its decode a share of the steps of a full batch."""
         prefill = (
             0
             if job.state_key
@@ -199,7 +202,7 @@
         return sum(work for _, work in self.recent_work) > budget
 
     def reserve(self, name: str, tokens: int, now: int) -> bool:
-        """Reserves capacity ahead of a request: only if a slot and memory are free at once and nothing is queued."""
+        """Reserves capacity ahead of a request, in `places`: only if a slot and memory are free and nothing is queued."""
         if self.down or self.waiting or len(self.running) + len(self.places) >= self.kind.slots:
             return False
         if self.used_tokens() + tokens > self.kind.memory:
@@ -331,9 +334,8 @@
                 self.running.remove(job)
                 events.append(EngineEvent("done", job, now))
         while self.used_tokens() > self.kind.memory and len(self.running) > 1:
-            newest = max(
-                self.running, key=lambda j: (j.began_at, j.name)
-            )  # goes back into the queue, to be prefilled again
+            # Preempts the newest job: it goes back into the queue, to be prefilled again.
+            newest = max(self.running, key=lambda j: (j.began_at, j.name))
             self.running.remove(newest)
             newest.remaining_tokens, newest.preemptions = newest.context, newest.preemptions + 1
             if newest.state_ready_at is not None:
--- a/ramppulley/standin/platform.py
+++ b/ramppulley/standin/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform around one router in tests: workers and discovery, with their published protocol.
+"""Stand-ins for the platform around one router in tests: workers and discovery, which speak the published protocol.
 
 The workers share one set of KV states, as a `DELETE` may reach another worker than the holder. Each of `scripts` replaces
 one response: bytes, or a coroutine that gets the transport.
@@ -50,7 +50,11 @@
 
 
 class PlatformWorker:
-    """One prefill or decode worker. `log`: (method, path, id, body) of each request, in the order of arrival."""
+    """One prefill or decode worker.
+
+    `log`: (method, path, id, body) of each request, in the order of arrival; `limits`: their deadline headers.
+    `token_s`: seconds before each event of a stream; 0 = the whole response at once.
+    """
 
     def __init__(self, name, role, yard, token_s=0.0):
         self.name, self.role, self.yard, self.token_s = name, role, yard, token_s
@@ -140,8 +144,9 @@
 
 
 class PlatformList:
-    """Discovery: sends the whole list and then a watch to each caller.
+    """Discovery: sends each caller the whole list, or the changes since its version, and then each change.
 
+    After `beat` seconds without a change a watch sends an empty line.
     While `fault` is set, it handles each call instead, and open watches stay silent for good.
     """
 
--- a/ramppulley/standin/platform_mutants.py
+++ b/ramppulley/standin/platform_mutants.py
@@ -272,7 +272,7 @@
 
 
 def impatient_watch() -> None:
-    """Abandons a call to discovery that has returned nothing, for the next call."""
+    """Abandons a call to discovery that has returned nothing yet, and starts the next call."""
     from ramppulley.fleet.platform import watch
 
     watch.TIMEOUTS = watch.TIMEOUTS._replace(slow_line_s=watch.TIMEOUTS.first_line_s)
--- a/ramppulley/standin/server/holds.py
+++ b/ramppulley/standin/server/holds.py
@@ -6,7 +6,7 @@
 from ramppulley.standin.model import Engine, Job, S
 from ramppulley.standin.server.clock import monotonic_now
 
-MAX_STATE_AGE = 30 * S  # a hold that is neither used nor released expires
+MAX_HOLD_AGE = 30 * S  # a hold that is neither used nor released expires
 
 
 class Holds:
@@ -37,7 +37,7 @@
         self.log.append(held)
 
     def close(self, key: str, how: str, at: int | None = None) -> None:
-        """Records the end of a hold; a release counts from when it was first asked for."""
+        """Records the end of a hold; a release counts from when it was first requested."""
         held = self.open.pop(key, None)
         if held is None:
             return
@@ -54,7 +54,7 @@
     def expire(self, now: int) -> None:
         """Ends the holds that are too old."""
         for key, held in list(self.open.items()):
-            if now - held.since > MAX_STATE_AGE:
+            if now - held.since > MAX_HOLD_AGE:
                 self.close(key, "expired")
                 if held.what == "state":
                     self._engine.kv_states.release(key)
@@ -62,7 +62,7 @@
                     self._engine.drop_reservation(key)
 
     def note_release_request(self, raw_body: bytes, arrived: int) -> None:
-        """Records when a release was first asked for: a silent engine acts later, or never if the caller hung up."""
+        """Records when a release was first requested: a silent engine acts later, or never if the caller hung up."""
         try:
             body = msgspec.json.decode(raw_body)
             key = (body.get("remote_block_ids") or [str(body.get("request_id"))])[0]
--- a/ramppulley/standin/server/standin.py
+++ b/ramppulley/standin/server/standin.py
@@ -116,7 +116,7 @@
                 return
 
     async def _read_request(self, transport, parser):
-        """Whether a whole request has come."""
+        """Receives until a request is complete; False if the connection ends or the request is malformed."""
         while not parser.ready:
             data = await transport.receive()
             if not data:
@@ -154,9 +154,8 @@
         arrived = self.now()
         if request.path == RELEASE_PATH:
             self.holds.note_release_request(request.body, arrived)
-        if not request.path.startswith(
-            API_PREFIX
-        ):  # API requests wait after their entry in the ledger, as they did arrive
+        # API requests wait only after their entry in the ledger, as they did arrive at a silent engine.
+        if not request.path.startswith(API_PREFIX):
             await self.faults.wait_for_end_of_silence()
         if request.path in METRICS_PATHS:
             return await self.responses.metrics(transport)
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -60,6 +60,8 @@
 
 
 class World:
+    """A router with its stand-in workers and discovery. `known`: whether its configuration includes the whole list."""
+
     def __init__(self, readers=1, writers=1, sockets=256, token_s=0.0, known=True, make=Router, settings=SETTINGS):
         self.yard, self.known, self.sockets, self.make, self.settings = KvYard(), known, sockets, make, settings
         self.readers = [PlatformWorker(f"s-r{i}", "read", self.yard) for i in range(readers)]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,6 +18,8 @@
 
 
 class Rig:
+    """A stand-in fleet and a router that runs its requests, both in this process."""
+
     def __init__(self, orders=None, make=Router, extensions=("release", "hold"), **fleet):
         self.orders, self.make, self.fleet_shape, self.extensions = orders or {}, make, fleet, extensions
 
