--- a/ramppulley/cli/inspecting.py
+++ b/ramppulley/cli/inspecting.py
@@ -58,18 +58,18 @@
 
 
 def read_store(folder):
-    """(Mark, Found) of the log in a folder, which may be of any router. Changes nothing."""
+    """(LogIdentity, LogContent) of the log in a folder, which may be of any router. Changes nothing."""
     from ramppulley.store.disk import Disk
-    from ramppulley.store.log import Unfit, mark_of, read_log
+    from ramppulley.store.log import InvalidLog, read_identity, read_log
 
     if not folder.is_dir():
         fail(f"{folder}: no such folder")
     try:
-        mark = mark_of(Disk(), folder)
-        if mark is None:
+        identity = read_identity(Disk(), folder)
+        if identity is None:
             fail(f"{folder}: no log is here")
-        return mark, read_log(folder, mark.cluster, mark.owner, Disk())[1]
-    except Unfit as error:
+        return identity, read_log(folder, identity.cluster, identity.owner, Disk())[1]
+    except InvalidLog as error:
         fail(str(error))
     except OSError as error:
         fail(f"{folder}: {error.strerror}")
@@ -78,16 +78,16 @@
 @store_app.command("verify")
 def store_verify(folder: Path):
     """Read the whole log of a router that is not running: exit code 1 if committed records cannot be read."""
-    mark, found = read_store(folder)
+    identity, found = read_store(folder)
     typer.echo(
-        f"log of router {mark.owner} of cluster {mark.cluster}, opened {mark.generation} times: "
-        f"{len(found.records)} records from {mark.base} on"
+        f"log of router {identity.owner} of cluster {identity.cluster}, opened {identity.generation} times: "
+        f"{len(found.records)} records from {identity.base} on"
     )
     if found.torn:
         typer.echo(f"{found.torn} bytes at the end were promised to nobody, and are passed over")
-    for rot in found.rots:
-        typer.echo(f"ROT: records {rot.first} to {rot.end - 1} cannot be read here")
-    if found.rots:
+    for corrupt in found.corrupt_ranges:
+        typer.echo(f"ROT: records {corrupt.first} to {corrupt.end - 1} cannot be read here")
+    if found.corrupt_ranges:
         raise typer.Exit(1)
 
 
--- a/ramppulley/cli/serving.py
+++ b/ramppulley/cli/serving.py
@@ -94,12 +94,12 @@
     for_: Annotated[float | None, typer.Option("--for", help="seconds; default: until a signal")] = None,
 ):
     """Run a stand-in fleet and the router in the foreground."""
-    from ramppulley.standin.demo import demo_fleet, demo_orders
+    from ramppulley.standin.demo import demo_fleet, demo_settings
 
     async def run_both():
         with tempfile.TemporaryDirectory(prefix="rp-") as folder:
             fleet = await demo_fleet(Path(folder) / "workers.json5").start()
-            settings = demo_orders(port)
+            settings = demo_settings(port)
             try:
                 await run(Daemon(settings, logs("console"), folder), for_)
             finally:
--- a/ramppulley/cluster/members.py
+++ b/ramppulley/cluster/members.py
@@ -88,7 +88,7 @@
         return self.local.incarnation
 
     @property
-    def heard_of_self(self) -> int:
+    def highest_observed(self) -> int:
         """The highest incarnation of ours that others reported."""
         return self.local.highest_observed
 
@@ -113,7 +113,7 @@
             self.sender.send(now, "leave", member.address)
         self.local.left = True
 
-    def told_traffic(self, traffic: int) -> None:
+    def set_traffic(self, traffic: int) -> None:
         """Sets our traffic level, announced under a new incarnation if one is available."""
         if self.local.change_traffic(traffic):
             self.broadcasts.put(self.local.update())
--- a/ramppulley/cluster/seal.py
+++ b/ramppulley/cluster/seal.py
@@ -17,9 +17,9 @@
 from ramppulley.cluster.words import MAX_PAYLOAD_SIZE
 
 VERSION = 1
-TAG, MAGIC = 16, b"RP"  # size of the tag in bytes; first bytes of each datagram
-MOST = 1_400  # maximum datagram size in bytes, with header and tag: below the Ethernet MTU
-KEY_LEAST, KEY_MOST = 16, 64  # minimum and maximum key size in bytes
+TAG_SIZE, MAGIC = 16, b"RP"  # size of the tag in bytes; first bytes of each datagram
+MAX_DATAGRAM_SIZE = 1_400  # maximum datagram size in bytes, with header and tag: below the Ethernet MTU
+MIN_KEY_SIZE, MAX_KEY_SIZE = 16, 64  # minimum and maximum key size in bytes
 RUN_ID_BITS = 62
 REPLAY_WINDOW = 1 << 10  # sequence numbers behind the newest that are still accepted
 MAX_SENDERS = 1_024  # sender names tracked; the least recently heard is evicted first
@@ -40,17 +40,17 @@
 
 
 class Header(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """Header of a datagram. `life`: random ID of the sender's run, so that two processes with one name are told apart."""
+    """Header of a datagram. `run_id`: random ID of the sender's run, so that two processes with one name are told apart."""
 
     cluster: str
     sender: str
-    life: int
+    run_id: int
     incarnation: int
     number: int
     kind: str  # the state machine it is for: "members", "signals" ...
 
 
-class Unfit(ValueError):
+class InvalidDatagram(ValueError):
     """A datagram that is rejected without effect; the message is one of CAUSES."""
 
 
@@ -97,18 +97,18 @@
         rng: RandomSource,
         incarnation: Callable[[], int] = lambda: 0,
     ) -> None:
-        if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise ValueError(f"cluster key has {len(key)} bytes; it must have {KEY_LEAST} to {KEY_MOST}")
+        if not MIN_KEY_SIZE <= len(key) <= MAX_KEY_SIZE:
+            raise ValueError(f"cluster key has {len(key)} bytes; it must have {MIN_KEY_SIZE} to {MAX_KEY_SIZE}")
         self.cluster = cluster
         self.name = name
         self.incarnation = incarnation
         self.run_id = rng.getrandbits(RUN_ID_BITS)
         self.number = 0
-        self.hash = blake2b(key=key, digest_size=TAG)
+        self.hash = blake2b(key=key, digest_size=TAG_SIZE)
         self.senders: OrderedDict[str, list[SenderRun]] = OrderedDict()  # runs of each name, the latest last
         self.own_name_count = 0  # datagrams from other runs under our own name
         self.count: Counter[str] = Counter()  # rejected datagrams by cause
-        self.twice: list[str] = []  # names used by two routers at once; emptied by the host
+        self.duplicate_names: list[str] = []  # names used by two routers at once; emptied by the host
 
     def _tag(self, raw: bytes) -> bytes:
         digest = self.hash.copy()
@@ -125,74 +125,74 @@
         return raw + self._tag(raw)
 
     def open(self, data: bytes) -> tuple[Header, bytes]:
-        """Verifies a datagram and returns (header, payload); raises Unfit and counts its cause."""
+        """Verifies a datagram and returns (header, payload); raises InvalidDatagram and counts its cause."""
         try:
             return self._open(data)
-        except Unfit as fault:
+        except InvalidDatagram as fault:
             self.count[str(fault)] += 1
             raise
 
     def _open(self, data: bytes) -> tuple[Header, bytes]:
-        if len(data) > MOST:
-            raise Unfit("too long")
-        if len(data) < len(MAGIC) + 2 + TAG:
-            raise Unfit("too short")
+        if len(data) > MAX_DATAGRAM_SIZE:
+            raise InvalidDatagram("too long")
+        if len(data) < len(MAGIC) + 2 + TAG_SIZE:
+            raise InvalidDatagram("too short")
         if data[:2] != MAGIC:
-            raise Unfit("not ours")
+            raise InvalidDatagram("not ours")
         if data[2] != VERSION:
-            raise Unfit("other version")
-        raw, tag = data[:-TAG], data[-TAG:]
+            raise InvalidDatagram("other version")
+        raw, tag = data[:-TAG_SIZE], data[-TAG_SIZE:]
         if not compare_digest(self._tag(raw), tag):
-            raise Unfit("forged")
+            raise InvalidDatagram("forged")
         header, payload = self._split(raw[3:])
         if header.cluster != self.cluster:
-            raise Unfit("other cluster")
-        if header.life == self.run_id:
-            raise Unfit("own")  # our own datagram was sent back to us
+            raise InvalidDatagram("other cluster")
+        if header.run_id == self.run_id:
+            raise InvalidDatagram("own")  # our own datagram was sent back to us
         self._check_sequence(header)
         if header.sender == self.name:
             self.own_name_count += 1  # a single one may be a late datagram from our previous run
             if self.own_name_count % MIN_ALTERNATIONS == 0:
-                self.twice.append(header.sender)
-            raise Unfit("own name")
+                self.duplicate_names.append(header.sender)
+            raise InvalidDatagram("own name")
         return header, payload
 
     def _split(self, raw: bytes) -> tuple[Header, bytes]:
         try:
             header = _decoder.decode(raw[1 : 1 + raw[0]])
         except (msgspec.MsgspecError, RecursionError) as fault:
-            raise Unfit("unreadable") from fault
+            raise InvalidDatagram("unreadable") from fault
         if not 0 < len(header.sender) <= 64 or header.number < 0 or not 0 <= header.incarnation < 1 << 48:
-            raise Unfit("unreadable")
+            raise InvalidDatagram("unreadable")
         return header, raw[1 + raw[0] :]
 
     def _check_sequence(self, header: Header) -> None:
-        """Accepts each number of a run once; raises Unfit for a replay.
+        """Accepts each number of a run once; raises InvalidDatagram for a replay.
 
         The last two runs of a name are tracked, so a restart is accepted. If the older run repeatedly sends new datagrams
-        after the newer one did, two processes use the name at the same time: that is reported in `twice`, and both are
-        still accepted.
+        after the newer one did, two processes use the name at the same time: that is reported in `duplicate_names`, and
+        both are still accepted.
         """
         runs = self.senders.setdefault(header.sender, [])
         self.senders.move_to_end(header.sender)
         while len(self.senders) > MAX_SENDERS:
             self.senders.popitem(last=False)
-        run = next((candidate for candidate in runs if candidate.run_id == header.life), None)
+        run = next((candidate for candidate in runs if candidate.run_id == header.run_id), None)
         if run is None:
-            run = SenderRun(header.life)
+            run = SenderRun(header.run_id)
             runs.append(run)
             del runs[:-2]
         if not run.accept(header.number):
-            raise Unfit("replayed")
+            raise InvalidDatagram("replayed")
         if run is not runs[-1]:
             runs.reverse()
             run.alternations += 1
             if run.alternations >= MIN_ALTERNATIONS:
-                self.twice.append(header.sender)
+                self.duplicate_names.append(header.sender)
                 run.alternations = 0
 
 
-def head_of(data: bytes) -> Header | None:
+def unverified_header(data: bytes) -> Header | None:
     """The header of a datagram, unverified, or None if it can't be decoded: for passive observers."""
     try:
         return _decoder.decode(data[4 : 4 + data[3]])
@@ -200,4 +200,4 @@
         return None
 
 
-__all__ = ["CAUSES", "Header", "Seal", "Unfit", "head_of"]
+__all__ = ["CAUSES", "Header", "Seal", "InvalidDatagram", "unverified_header"]
--- a/ramppulley/cluster/showing.py
+++ b/ramppulley/cluster/showing.py
@@ -33,7 +33,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Showing:
+class ViewServer:
     """Answers page requests with as many rows as fit into one datagram. `rows()` returns all rows."""
 
     def __init__(self, rows: Callable[[], list[Row]], budget: TokenBucket) -> None:
@@ -67,7 +67,7 @@
         """Does nothing: there are no timers."""
 
 
-class Switch:
+class SharingControl:
     """Enables or disables signals and leases when an operator sends the command. `on_switch(enabled)` applies it."""
 
     def __init__(self, on_switch: Callable[[bool], None]) -> None:
@@ -88,11 +88,11 @@
         """Does nothing: there are no timers."""
 
 
-def ask(first: int) -> bytes:
+def encode_request(first: int) -> bytes:
     """Encodes a request for the page that starts at row `first`."""
     return _encoder.encode(PageRequest(first))
 
 
-def page(payload: bytes) -> Page:
+def decode_page(payload: bytes) -> Page:
     """Decodes a page. Raises msgspec.MsgspecError."""
     return _page_decoder.decode(payload)
--- a/ramppulley/cluster/signals.py
+++ b/ramppulley/cluster/signals.py
@@ -214,7 +214,9 @@
         self.tokens_updated_at = now
         if self.broadcast_at is not None and now >= self.broadcast_at:
             self.broadcast_at, rows = None, self._rows_to_send()
-            useful = self.known(now) >= MIN_KNOWN  # peers whose datagrams reach us too late hardly receive ours in time
+            useful = (
+                self.known_share(now) >= MIN_KNOWN
+            )  # peers whose datagrams reach us too late hardly receive ours in time
             for name in self.rng.sample(sorted(present), min(len(present), int(self.tokens))) if useful else ():
                 self._send(now, name, present[name], *rows)
         if now >= self.next_routine_at:
@@ -271,8 +273,8 @@
             self.count["out of bounds"] += 1
             return
         peer = self.peers.get(header.sender)
-        if peer is None or peer.run_id != header.life:  # after a restart the load of the previous run is gone
-            peer = self.peers[header.sender] = Peer(header.life, 1.0 if peer is None else peer.trust)
+        if peer is None or peer.run_id != header.run_id:  # after a restart the load of the previous run is gone
+            peer = self.peers[header.sender] = Peer(header.run_id, 1.0 if peer is None else peer.trust)
         if message.echo and 0 <= now - message.echo - message.echo_age < STALE_SILENCE:
             peer.offset.add_echo(message.sent_at, now, now - message.echo - message.echo_age)
         if message.sent_at <= peer.newest_sent_at:  # duplicate or out of order
@@ -292,7 +294,7 @@
                 del peer.rows[next(iter(peer.rows))]
 
     # Trust
-    def saw(self, now: int, mark: int, queued: float, own: float) -> None:
+    def check_claims(self, now: int, mark: int, queued: float, own: float) -> None:
         """Checks the claims against a worker's new report: `queued` prompt tokens there, of which `own` are ours."""
         claimed = 0.0
         for peer in self.peers.values():
@@ -304,7 +306,7 @@
                     peer.trust * TRUST_LOSS_FACTOR if refuted else peer.trust + (1 - peer.trust) * TRUST_RECOVERY
                 )
                 claimed += weight * min(row.prefill_tokens, queued)
-        known = self.known(now)
+        known = self.known_share(now)
         if known >= MIN_KNOWN:  # how much of the others' queue is covered by claims
             by_others = max(0.0, queued - own) * known
             self.queued_average += EXPLAINED_SMOOTHING * (by_others - self.queued_average)
@@ -321,7 +323,7 @@
         )
 
     # Results
-    def known(self, now: int) -> float:
+    def known_share(self, now: int) -> float:
         """Share of the other routers whose load is known, by weight."""
         return min(1.0, sum(self.weight(peer, now) for peer in self.peers.values()) / max(1, len(self.present_peers())))
 
@@ -339,14 +341,14 @@
             weight = weights[name]
             for mark, row in self.peers[name].rows.items() if weight else ():
                 claims_by_mark.setdefault(mark, WorkerClaims()).add(row, weight)
-        confidence = round(known * self.honest(), 2)
+        confidence = round(known * self.claims_confidence(), 2)
         loads: dict[int | str, PeerLoad] = {
             mark: claims.peer_load(known, confidence) for mark, claims in claims_by_mark.items()
         }
         loads[""] = PeerLoad(0, 0, confidence, 0.0)
         return loads
 
-    def honest(self) -> float:
+    def claims_confidence(self) -> float:
         """How far the claims explain the queues that workers report, from 0 to 1: 1 if they explain half or more.
 
         Routers that hide load reduce the confidence in all signals.
--- a/ramppulley/cluster/snapshot.py
+++ b/ramppulley/cluster/snapshot.py
@@ -9,11 +9,11 @@
 import msgspec
 
 MAGIC, VERSION, CHECKSUM_SIZE = b"RPS", 1, 16
-MOST = 4_096  # maximum file size in bytes; a longer file is not a snapshot
+MAX_FILE_SIZE = 4_096  # maximum file size in bytes; a longer file is not a snapshot
 BLOCK = 1_024  # incarnations reserved at once
 
 
-class Kept(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class Snapshot(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     """Content of the snapshot file."""
 
     cluster: str
@@ -21,39 +21,39 @@
     highest: int  # the highest incarnation that may have been used
 
 
-class Torn(ValueError):
+class DamagedSnapshot(ValueError):
     """The bytes are not a complete snapshot."""
 
 
-class Alien(ValueError):
+class ForeignSnapshot(ValueError):
     """A complete snapshot, but of another cluster, router or format version."""
 
 
-def packed(snapshot: Kept) -> bytes:
+def encode(snapshot: Snapshot) -> bytes:
     """Encodes the file: magic, version, content, checksum."""
     raw = MAGIC + bytes([VERSION]) + msgspec.msgpack.encode(snapshot)
     return raw + blake2b(raw, digest_size=CHECKSUM_SIZE).digest()
 
 
-def read(raw: bytes, cluster: str, name: str) -> Kept:
-    """Decodes a snapshot file; raises Torn or Alien.
+def decode(raw: bytes, cluster: str, name: str) -> Snapshot:
+    """Decodes a snapshot file; raises DamagedSnapshot or ForeignSnapshot.
 
-    >>> read(packed(Kept("c", "r0", 1024)), "c", "r0").highest
+    >>> decode(encode(Snapshot("c", "r0", 1024)), "c", "r0").highest
     1024
     """
     if (
-        len(raw) > MOST
+        len(raw) > MAX_FILE_SIZE
         or len(raw) < len(MAGIC) + 1 + CHECKSUM_SIZE
         or raw[:3] != MAGIC
         or blake2b(raw[:-CHECKSUM_SIZE], digest_size=CHECKSUM_SIZE).digest() != raw[-CHECKSUM_SIZE:]
     ):
-        raise Torn("torn, or not a snapshot")
+        raise DamagedSnapshot("torn, or not a snapshot")
     if raw[3] != VERSION:
-        raise Alien(f"version {raw[3]}; this program reads {VERSION}")
+        raise ForeignSnapshot(f"version {raw[3]}; this program reads {VERSION}")
     try:
-        snapshot = msgspec.msgpack.decode(raw[4:-CHECKSUM_SIZE], type=Kept)
+        snapshot = msgspec.msgpack.decode(raw[4:-CHECKSUM_SIZE], type=Snapshot)
     except msgspec.MsgspecError as fault:
-        raise Torn(str(fault)) from fault
+        raise DamagedSnapshot(str(fault)) from fault
     if (snapshot.cluster, snapshot.name) != (cluster, name):
-        raise Alien(f"of router {snapshot.name!r} in cluster {snapshot.cluster!r}")
+        raise ForeignSnapshot(f"of router {snapshot.name!r} in cluster {snapshot.cluster!r}")
     return snapshot
--- a/ramppulley/cluster/subsets.py
+++ b/ramppulley/cluster/subsets.py
@@ -47,7 +47,7 @@
     name: str
     zone: int
     traffic: float = 1.0
-    sure: bool = True  # False while it is a suspect: it counts as a router, but not towards GUARANTEED_ROUTERS
+    reliable: bool = True  # False while it is a suspect: it counts as a router, but not towards GUARANTEED_ROUTERS
 
 
 def mark_of(name: str) -> int:
@@ -59,7 +59,7 @@
     return crc32(name.encode()) * MULTIPLIER_1 & MASK_64
 
 
-def lot(router: int, worker: int) -> float:
+def rendezvous_hash(router: int, worker: int) -> float:
     """Rendezvous hash of a router's and a worker's hash, uniform from 0 to 1."""
     mixed = ((router ^ worker * MULTIPLIER_2) * MULTIPLIER_1) & MASK_64
     mixed = ((mixed ^ mixed >> 29) * MULTIPLIER_2) & MASK_64
@@ -67,23 +67,25 @@
     return (mixed >> 11) / 2**53
 
 
-def traffic_of(rate: float, before: int) -> int:
+def traffic_level(rate: float, before: int) -> int:
     """Binary logarithm of the requests per second, rounded; stays at `before` while the rate is near it.
 
-    >>> traffic_of(0.1, 0), traffic_of(40, 0), traffic_of(45, 5), traffic_of(60, 5)
+    >>> traffic_level(0.1, 0), traffic_level(40, 0), traffic_level(45, 5), traffic_level(60, 5)
     (0, 5, 5, 6)
     """
     level = log2(max(1.0, rate))
     return round(level) if abs(level - before) > TRAFFIC_HYSTERESIS else before
 
 
-def part_of(routers: int, workers: int, min_workers: int, before: float = 1.0) -> float:
+def subset_fraction(routers: int, workers: int, min_workers: int, before: float = 1.0) -> float:
     """The fraction of the list that a router uses: 1, 1/2, 1/4 ..., as small as leaves MIN_MEAN_ROUTERS routers per worker
     and `min_workers` workers per router. `before`: the current fraction, kept within a band so that a router that flaps
     moves nothing.
 
-    >>> part_of(64, 64, 12), part_of(7, 64, 12), part_of(1000, 256, 12), part_of(15, 64, 12), part_of(15, 64, 12, 0.5)
-    (0.25, 1.0, 0.0625, 1.0, 0.5)
+    >>> subset_fraction(64, 64, 12), subset_fraction(7, 64, 12), subset_fraction(1000, 256, 12)
+    (0.25, 1.0, 0.0625)
+    >>> subset_fraction(15, 64, 12), subset_fraction(15, 64, 12, 0.5)
+    (1.0, 0.5)
     """
     fraction = 1.0
     while True:
@@ -159,8 +161,10 @@
         )
 
     def _guaranteed_routers(self, place: Place) -> set[str]:
-        reliable = [peer.name for peer in self.peers if peer.sure]
-        return set(sorted(reliable, key=lambda name: lot(self.marks[name], place.mark))[:GUARANTEED_ROUTERS])
+        reliable = [peer.name for peer in self.peers if peer.reliable]
+        return set(
+            sorted(reliable, key=lambda name: rendezvous_hash(self.marks[name], place.mark))[:GUARANTEED_ROUTERS]
+        )
 
     def subset(self, peer: Peer) -> set[int]:
         """Endpoint IDs of the workers that this router uses, with prefill and decode workers of the same groups."""
@@ -184,13 +188,15 @@
         # weighted rendezvous hashing: a group comes first with a probability in proportion to its weight
         order = sorted(
             [group for group in group_weights if group_weights[group]],
-            key=lambda g: -log(1 - lot(mark, g)) / group_weights[g],
+            key=lambda g: -log(1 - rendezvous_hash(mark, g)) / group_weights[g],
         )
         count = min(len(order), max(MIN_GROUPS, round(fraction * len(self.groups)))) or 1
         group_fraction = min(1.0, fraction * len(self.groups) / count)
         for group in order[:count]:
             for role in ("both", "read", "write"):
-                same_role = sorted([p for p in self.groups[group] if p.role == role], key=lambda p: lot(mark, p.mark))
+                same_role = sorted(
+                    [p for p in self.groups[group] if p.role == role], key=lambda p: rendezvous_hash(mark, p.mark)
+                )
                 chosen.update([p.mark for p in same_role[: max(MIN_PER_ROLE, ceil(group_fraction * len(same_role)))]])
         for place in self.places:
             if peer.name in self.guaranteed[place.mark] and place.mark not in chosen:
@@ -201,7 +207,7 @@
         """A worker, and one of its group with the complementary role."""
         other_role = {"read": "write", "write": "read"}.get(place.role)
         partners = [p for p in self.groups[place.cell] if p.role == other_role]
-        return {place.mark} | {p.mark for p in sorted(partners, key=lambda p: lot(mark, p.mark))[:1]}
+        return {place.mark} | {p.mark for p in sorted(partners, key=lambda p: rendezvous_hash(mark, p.mark))[:1]}
 
     def shares(self, rounds: int = FITTING_ROUNDS) -> dict[str, dict[int, float]]:
         """{router: {endpoint ID: share of its traffic}}; decode workers and prefill workers each add up to 1.
--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -20,7 +20,7 @@
 
 from ramppulley.cluster.config import MS, S
 from ramppulley.cluster.seal import Header
-from ramppulley.cluster.subsets import lot, mark_of
+from ramppulley.cluster.subsets import mark_of, rendezvous_hash
 from ramppulley.cluster.words import Address
 
 VERSION = 1
@@ -62,7 +62,7 @@
 _decoder, _encoder = msgspec.msgpack.Decoder(LeaseMessage), msgspec.msgpack.Encoder()
 
 
-class Turns:
+class LeaseManager:
     """Requests leases, and grants them where this router is the coordinator.
 
     `present_peers()` returns {name: address} of the other routers considered present, `known_count()` the number of all
@@ -95,12 +95,12 @@
         return int(LEASE_TIME * (1 + CLOCK_DRIFT)) + STALL_TIME
 
     # Called by the host
-    def want(self, now: int, resource: str, permits: int = 1) -> None:
-        """Requests a lease, repeatedly until `leave`."""
+    def request(self, now: int, resource: str, permits: int = 1) -> None:
+        """Requests a lease, repeatedly until `release`."""
         if resource not in self.wanted:
             self.wanted[resource] = LeaseRequest(now, permits)
 
-    def leave(self, now: int, resource: str) -> None:
+    def release(self, now: int, resource: str) -> None:
         """Cancels the request, and releases the lease if we hold it."""
         request = self.wanted.pop(resource, None)
         if request is not None and now < request.expires_at:
@@ -110,7 +110,7 @@
         """Whether we hold the lease."""
         return resource in self.wanted and now < self.wanted[resource].expires_at
 
-    def may(self, now: int, resource: str) -> bool:
+    def may_act(self, now: int, resource: str) -> bool:
         """Whether to act: we hold the lease, or no coordinator has answered for FALLBACK_DELAY."""
         request = self.wanted.get(resource)
         if request is None or now < request.expires_at:
@@ -156,7 +156,8 @@
         """Name of the member that grants leases for a resource, in our current view or the given one."""
         mark = crc32(resource.encode())
         return min(
-            [self.name, *(self.view if view is None else view)], key=lambda name: (lot(mark_of(name), mark), name)
+            [self.name, *(self.view if view is None else view)],
+            key=lambda name: (rendezvous_hash(mark_of(name), mark), name),
         )
 
     def _must_not_grant(self, now: int, resource: str) -> bool:
--- a/ramppulley/daemon/asking.py
+++ b/ramppulley/daemon/asking.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ramppulley.cluster import showing
-from ramppulley.cluster.seal import MOST, Seal, Unfit
+from ramppulley.cluster.seal import MAX_DATAGRAM_SIZE, InvalidDatagram, Seal
 
 MAX_TRIES, TRY_TIMEOUT_S, MAX_ROWS = 4, 0.5, 100_000
 
@@ -41,24 +41,24 @@
                 try:
                     sock.send(seal.seal("switch", b"on" if on else b"off"))
                     sock.settimeout(TRY_TIMEOUT_S)
-                    if seal.open(sock.recv(MOST + 1))[0].kind == "switch":
+                    if seal.open(sock.recv(MAX_DATAGRAM_SIZE + 1))[0].kind == "switch":
                         reached.add(name)
                         break
-                except (Unfit, OSError):
+                except (InvalidDatagram, OSError):
                     continue
     return reached, set(routers.values())
 
 
 def _page(sock, seal, first):
     for _ in range(MAX_TRIES):
-        sock.send(seal.seal("show", showing.ask(first)))
+        sock.send(seal.seal("show", showing.encode_request(first)))
         deadline = time.monotonic() + TRY_TIMEOUT_S
         while (remaining_s := deadline - time.monotonic()) > 0:
             sock.settimeout(remaining_s)
             try:
-                _, payload = seal.open(sock.recv(MOST + 1))
-                page = showing.page(payload)
-            except (Unfit, msgspec.MsgspecError, TimeoutError):
+                _, payload = seal.open(sock.recv(MAX_DATAGRAM_SIZE + 1))
+                page = showing.decode_page(payload)
+            except (InvalidDatagram, msgspec.MsgspecError, TimeoutError):
                 continue
             except ConnectionRefusedError:
                 time.sleep(remaining_s)  # the router may be starting
--- a/ramppulley/daemon/cluster/cluster.py
+++ b/ramppulley/daemon/cluster/cluster.py
@@ -6,7 +6,7 @@
 from ramppulley.cluster.local_member import Identity
 from ramppulley.cluster.members import Members
 from ramppulley.cluster.seal import Seal
-from ramppulley.cluster.showing import BURST, PER_SECOND, Showing, Switch
+from ramppulley.cluster.showing import BURST, PER_SECOND, SharingControl, ViewServer
 from ramppulley.cluster.token_bucket import TokenBucket
 from ramppulley.daemon.cluster import status
 from ramppulley.daemon.cluster.incarnations import IncarnationReserve
@@ -17,7 +17,7 @@
 from ramppulley.daemon.cluster.signal_exchange import SignalExchange
 from ramppulley.daemon.cluster.subset_selection import SubsetSelection
 from ramppulley.daemon.cluster.turn_taking import LeaseHolder
-from ramppulley.peers.datagrams import Datagrams, bound
+from ramppulley.peers.datagrams import Datagrams, bind_socket
 from ramppulley.service.clock import TENTHS
 from ramppulley.store.disk import Disk
 
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, orders, base, clock, fleet, cores, notify, log, disk=None, socket=bound, rng=None, where="settings"
+        self, orders, base, clock, fleet, cores, notify, log, disk=None, socket=bind_socket, rng=None, where="settings"
     ):
         self.orders = orders
         self.settings = orders.peers
@@ -69,7 +69,7 @@
         now = self.clock.now()
         self._make_membership(now)
         self._make_sharing(now)
-        self.datagrams.machines["switch"] = Switch(self.switch.switch)
+        self.datagrams.machines["switch"] = SharingControl(self.switch.switch)
         self.members.join(now, self.settings.addresses())
         self.datagrams.start()
         self._start_tasks()
@@ -93,7 +93,7 @@
         )
         self.datagrams.machines = {
             "members": self.members,
-            "show": Showing(self.rows, TokenBucket(PER_SECOND, BURST)),
+            "show": ViewServer(self.rows, TokenBucket(PER_SECOND, BURST)),
         }
         self.events = PeerEvents(name, self.clock, self.members, self.seal, self.reserve, self.log)
         self.present = PresentPeers(self.members, self.clock)
@@ -142,7 +142,7 @@
                 self.signals.update_policies()
             if self.turns is not None:
                 self.switch.guard(self.turns.assign_half_open_probes)
-                self.datagrams.turn()
+                self.datagrams.run_all_machines()
 
     def listed(self):
         """Called when the list of workers changed."""
@@ -178,5 +178,5 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         self.members.leave(self.clock.now())
-        self.datagrams.turn()
+        self.datagrams.run_all_machines()
         self.datagrams.close()
--- a/ramppulley/daemon/cluster/incarnations.py
+++ b/ramppulley/daemon/cluster/incarnations.py
@@ -25,37 +25,37 @@
             used = self._highest_used(where)
             self.first = used + 1
             self.highest = used + snapshot.BLOCK
-            disk.replace(path, self._packed(self.highest))
+            disk.replace(path, self._encoded(self.highest))
         except OSError as fault:
             raise field_fault(where, "snapshot", f"{path}: {fault.strerror}") from fault
 
-    def _packed(self, highest):
-        return snapshot.packed(snapshot.Kept(self.cluster, self.name, highest))
+    def _encoded(self, highest):
+        return snapshot.encode(snapshot.Snapshot(self.cluster, self.name, highest))
 
     def _highest_used(self, where):
-        raw = self.disk.read(self.path, snapshot.MOST)
+        raw = self.disk.read(self.path, snapshot.MAX_FILE_SIZE)
         if raw is None:
             self.log.warning("no snapshot: incarnations begin anew", file=str(self.path))
             return 0
         try:
-            return snapshot.read(raw, self.cluster, self.name).highest
-        except snapshot.Torn as fault:
+            return snapshot.decode(raw, self.cluster, self.name).highest
+        except snapshot.DamagedSnapshot as fault:
             self.log.warning("snapshot not usable: incarnations begin anew", file=str(self.path), fault=str(fault))
             return 0
-        except snapshot.Alien as fault:
+        except snapshot.ForeignSnapshot as fault:
             raise field_fault(where, "snapshot", f"{self.path}: {fault}") from fault
 
     def extend_if_needed(self, members):
         """Reserves another block once less than half a block is left."""
-        used = max(members.incarnation, members.heard_of_self)
+        used = max(members.incarnation, members.highest_observed)
         if used > self.highest - snapshot.BLOCK // 2 and self.extending is None:
             self.extending = asyncio.get_running_loop().create_task(self._extend(members))
 
     async def _extend(self, members):
         """Raises the limit only after the new reservation is durable."""
-        highest = max(members.heard_of_self, self.highest) + snapshot.BLOCK
+        highest = max(members.highest_observed, self.highest) + snapshot.BLOCK
         try:
-            await asyncio.to_thread(self.disk.replace, self.path, self._packed(highest))
+            await asyncio.to_thread(self.disk.replace, self.path, self._encoded(highest))
             self.highest = members.local.incarnation_limit = highest
         except OSError as fault:
             self.log.error("snapshot not written", file=str(self.path), fault=fault.strerror)
--- a/ramppulley/daemon/cluster/peer_events.py
+++ b/ramppulley/daemon/cluster/peer_events.py
@@ -30,12 +30,12 @@
     def log_duplicates(self):
         """Logs names that more than one router uses."""
         now = self.clock.now()
-        for name in self.seal.twice:
+        for name in self.seal.duplicate_names:
             if not self.is_duplicate(name, now):
                 cause = "another router uses this router's name" if name == self.name else "two routers use this name"
                 self.log.error("a name twice", name=name, why=cause)
                 self.duplicate_logged_at[name] = now
-        self.seal.twice.clear()
+        self.seal.duplicate_names.clear()
 
     def is_duplicate(self, name, now):
         """Whether the name was reported as a duplicate within the last REPEAT_INTERVAL."""
@@ -43,7 +43,7 @@
 
     def log_stale_snapshot(self):
         """Logs once if peers remember higher incarnations of this router than its snapshot held."""
-        heard = self.members.heard_of_self
+        heard = self.members.highest_observed
         if heard >= self.reserve.first and self.members.local.silent and not self.stale_logged:
             self.stale_logged = True
             self.log.error(
--- a/ramppulley/daemon/cluster/settings.py
+++ b/ramppulley/daemon/cluster/settings.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from ramppulley.cluster.seal import KEY_LEAST, KEY_MOST
+from ramppulley.cluster.seal import MAX_KEY_SIZE, MIN_KEY_SIZE
 from ramppulley.daemon.json5 import InvalidFileError
 from ramppulley.store.disk import Disk
 
@@ -23,6 +23,6 @@
     if raw is None:
         raise field_fault(where, "key_file", f"{path}: no such file")
     key = raw.strip()
-    if not KEY_LEAST <= len(key) <= KEY_MOST:
-        raise field_fault(where, "key_file", f"{path}: {len(key)} bytes; {KEY_LEAST} to {KEY_MOST} are needed")
+    if not MIN_KEY_SIZE <= len(key) <= MAX_KEY_SIZE:
+        raise field_fault(where, "key_file", f"{path}: {len(key)} bytes; {MIN_KEY_SIZE} to {MAX_KEY_SIZE} are needed")
     return key
--- a/ramppulley/daemon/cluster/signal_exchange.py
+++ b/ramppulley/daemon/cluster/signal_exchange.py
@@ -27,7 +27,7 @@
         """An attempt of this router started or ended: schedules a signal to the peers."""
         if not self.switch.sharing_disabled:
             self.machine.changed(self.clock.now())
-            self.datagrams.soon("signals", self.machine.due())
+            self.datagrams.reschedule("signals", self.machine.due())
 
     def _own_rows(self):
         """Rows with this router's own observations of workers."""
@@ -75,4 +75,4 @@
                 at, report, ours, _ = worker.reports[-1]
                 self.reported_at[endpoint.mark] = at
                 if report.tokens_waiting is not None:
-                    self.machine.saw(at, endpoint.mark, report.tokens_waiting, ours)
+                    self.machine.check_claims(at, endpoint.mark, report.tokens_waiting, ours)
--- a/ramppulley/daemon/cluster/status.py
+++ b/ramppulley/daemon/cluster/status.py
@@ -79,10 +79,12 @@
 def signal_metrics(signals, now):
     """Coverage and reliability of other routers' signals."""
     yield GaugeMetricFamily(
-        "ramppulley_signals_known", "Part of the other routers whose news count.", value=signals.known(now)
+        "ramppulley_signals_known", "Part of the other routers whose news count.", value=signals.known_share(now)
     )
     yield GaugeMetricFamily(
-        "ramppulley_signals_honest", "How much of what waits at workers others speak of.", value=signals.honest()
+        "ramppulley_signals_honest",
+        "How much of what waits at workers others speak of.",
+        value=signals.claims_confidence(),
     )
     rejected_reports = CounterMetricFamily(
         "ramppulley_signals_refused",
--- a/ramppulley/daemon/cluster/subset_selection.py
+++ b/ramppulley/daemon/cluster/subset_selection.py
@@ -3,7 +3,7 @@
 import asyncio
 from zlib import crc32
 
-from ramppulley.cluster.subsets import Peer, Place, View, part_of, traffic_of
+from ramppulley.cluster.subsets import Peer, Place, View, subset_fraction, traffic_level
 from ramppulley.service.clock import TENTHS
 
 INTERVAL_S = 0.5  # between computations of subsets
@@ -57,11 +57,11 @@
         self.requests_before = requests
         self.measured_at = now
         traffic = self.members.local.traffic
-        level = traffic_of(rate, traffic)
+        level = traffic_level(rate, traffic)
         if level != traffic:
-            self.members.told_traffic(level)
+            self.members.set_traffic(level)
             self.changed = True
-            self.datagrams.turn()
+            self.datagrams.run_all_machines()
 
     def _subset_inputs(self):
         """Input of the subset computation: (this router, all routers, workers by pool, current fraction by pool)."""
@@ -89,7 +89,9 @@
         """{pool: (fraction, {endpoint ID: weight in the subset})}; no weights if the whole list is used."""
         results = {}
         for pool, places in pools.items():
-            fraction = part_of(len(peers), len(places), self.subset.workers_least, previous_fractions.get(pool, 1.0))
+            fraction = subset_fraction(
+                len(peers), len(places), self.subset.workers_least, previous_fractions.get(pool, 1.0)
+            )
             results[pool] = fraction, View(peers, places, fraction).weights(own.name) if fraction < 1 else {}
         return results
 
--- a/ramppulley/daemon/cluster/turn_taking.py
+++ b/ramppulley/daemon/cluster/turn_taking.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ramppulley.cluster.turns import Turns
+from ramppulley.cluster.turns import LeaseManager
 from ramppulley.daemon.cluster.pool_workers import workers_of
 from ramppulley.service.clock import TENTHS
 
@@ -11,7 +11,7 @@
 
 
 class LeaseHolder:
-    """Connects the lease state machine `turns.Turns` to the pools' policies and to this router's shutdown."""
+    """Connects the lease state machine `turns.LeaseManager` to the pools' policies and to this router's shutdown."""
 
     def __init__(self, name, clock, cores, present, switch, datagrams, log, now):
         self.clock = clock
@@ -20,7 +20,7 @@
         self.switch = switch
         self.datagrams = datagrams
         self.log = log
-        self.machine = Turns(name, present.addresses, present.remembered_count, now)
+        self.machine = LeaseManager(name, present.addresses, present.remembered_count, now)
         self.consecutive_failures = {}  # of suspect workers, by endpoint, when their lease was requested
 
     def assign_half_open_probes(self):
@@ -42,21 +42,21 @@
             if worker.consecutive_failures != self.consecutive_failures.setdefault(
                 endpoint, worker.consecutive_failures
             ):
-                self.machine.leave(now, lease)  # this router's probe failed: let another router try
+                self.machine.release(now, lease)  # this router's probe failed: let another router try
                 self.consecutive_failures[endpoint] = worker.consecutive_failures
-            self.machine.want(now, lease)
+            self.machine.request(now, lease)
         elif self.consecutive_failures.pop(endpoint, None) is not None:
-            self.machine.leave(now, lease)
-        return not worker.suspect or self.switch.sharing_disabled or self.machine.may(now, lease)
+            self.machine.release(now, lease)
+        return not worker.suspect or self.switch.sharing_disabled or self.machine.may_act(now, lease)
 
     async def wait_for_permit_to_stop(self, restart):
         """Returns once this router may stop: with a permit, or after the configured time."""
         started_at = self.clock.now()
         while self.clock.now() - started_at < restart.within_s * TENTHS:
             permits = max(1, int(restart.part * (1 + len(self.present.addresses()))))
-            self.machine.want(self.clock.now(), RESTART, permits)
-            self.datagrams.turn()
-            if self.machine.may(self.clock.now(), RESTART):
+            self.machine.request(self.clock.now(), RESTART, permits)
+            self.datagrams.run_all_machines()
+            if self.machine.may_act(self.clock.now(), RESTART):
                 break
             await asyncio.sleep(RESTART_POLL_INTERVAL_S)
         self.log.info(
--- a/ramppulley/daemon/daemon.py
+++ b/ramppulley/daemon/daemon.py
@@ -48,20 +48,20 @@
     `cluster_arguments` replaces the disk, socket, random numbers or settings name that `Cluster` uses.
     """
 
-    def __init__(self, orders, log, base=".", make_router=Router, clock=LoopClock, **cluster_arguments):
-        self.orders, self.log, self.base, self.make_router = orders, log, Path(base), make_router
+    def __init__(self, settings, log, base=".", make_router=Router, clock=LoopClock, **cluster_arguments):
+        self.settings, self.log, self.base, self.make_router = settings, log, Path(base), make_router
         self.make_clock, self.cluster_arguments, self.cluster = clock, cluster_arguments, None
         self.fleet, self.front, self.recorders = WorkerList(), None, []
 
     async def start(self):
         """Raises OSError (port in use, file missing) or InvalidFileError before anything runs."""
-        orders, loop = self.orders, asyncio.get_running_loop()
+        settings, loop = self.settings, asyncio.get_running_loop()
         self.clock, estimator = self.make_clock(loop), TokenEstimator()
-        if orders.peers is not None:
+        if settings.peers is not None:
             from ramppulley.daemon.cluster import Cluster
 
             self.cluster = Cluster(
-                orders,
+                settings,
                 self.base,
                 self.clock,
                 self.fleet,
@@ -70,20 +70,20 @@
                 self.log,
                 **self.cluster_arguments,
             )
-        self.event_log = EventLog(self.base / orders.record if orders.record else None)
+        self.event_log = EventLog(self.base / settings.record if settings.record else None)
         self.engines = OpenAIConnector(
             self.log,
-            frozenset(orders.engines.full_statuses),
-            orders.engines.connections,
-            orders.engines.idle_s,
-            orders.engines.connect_s,
-            orders.engines.load,
-            orders.engines.quiet_s,
+            frozenset(settings.engines.full_statuses),
+            settings.engines.connections,
+            settings.engines.idle_s,
+            settings.engines.connect_s,
+            settings.engines.load,
+            settings.engines.quiet_s,
         )
-        request_classes = {name: settings.to_policy_type() for name, settings in orders.use_cases.items()}
-        tenant_numbers = {name: i for i, name in enumerate(orders.accounts)}
+        request_classes = {name: request_class.to_policy_type() for name, request_class in settings.use_cases.items()}
+        tenant_numbers = {name: i for i, name in enumerate(settings.accounts)}
         cores = {}
-        for number, (pool, pool_settings) in enumerate(orders.pools.items()):
+        for number, (pool, pool_settings) in enumerate(settings.pools.items()):
             served = {name: request_classes[name] for name in pool_settings.use_cases or request_classes}
             cores[pool] = Core(
                 pool,
@@ -99,20 +99,20 @@
             )
         naming = Naming(
             frozenset(request_classes),
-            **orders.naming.model_dump(),
-            keys={key: name for name, account in orders.accounts.items() for key in account.keys},
+            **settings.naming.model_dump(),
+            keys={key: name for name, account in settings.accounts.items() for key in account.keys},
         )
         self.pools = PoolRegistry(
-            cores, orders.routes(), naming, self.event_log, f"{orders.name}-", orders.questions_most
+            cores, settings.routes(), naming, self.event_log, f"{settings.name}-", settings.questions_most
         )
         self.watcher = WorkerFileWatcher(
-            self.base / orders.workers.file, json5.read, self._workers_changed, self.log, orders.workers.every_s
+            self.base / settings.workers.file, json5.read, self._workers_changed, self.log, settings.workers.every_s
         )
         self.watcher.reload_if_changed()
         if self.cluster is not None:
             self.cluster.start()
             self.pools.registry.register(self.cluster)
-        listen = orders.listen
+        listen = settings.listen
         self.front = HttpFront(
             self.pools,
             self.log,
@@ -126,40 +126,40 @@
         self.watcher.start()
         self._expiry_task = loop.create_task(self._expire_idle_connections())
         self.log.info(
-            "router ready", name=orders.name, port=self.front.port, pid=os.getpid(), workers=len(self.fleet.endpoints)
+            "router ready", name=settings.name, port=self.front.port, pid=os.getpid(), workers=len(self.fleet.endpoints)
         )
         return self
 
     def _router_factory(self, number, pool, request_classes):
-        orders = self.orders
+        settings = self.settings
         capabilities = door.Capabilities(
-            sends=orders.permits.sends,
-            probes=orders.engines.load == "probe",
-            places=orders.permits.places,
-            longest_wait=int(orders.permits.longest_wait_s * 10_000),
+            sends=settings.permits.sends,
+            probes=settings.engines.load == "probe",
+            places=settings.permits.places,
+            longest_wait=int(settings.permits.longest_wait_s * 10_000),
         )
 
         def make(host, now):
             arguments = dict(
-                seed=orders.seed * 1000 + number,
-                routers=orders.routers,
-                zone=crc32(orders.zone.encode()),
+                seed=settings.seed * 1000 + number,
+                routers=settings.routers,
+                zone=crc32(settings.zone.encode()),
                 use_cases=list(request_classes.values()),
                 permits=capabilities,
-                lawbook=orders.rules.to_policy_type(),
+                lawbook=settings.rules.to_policy_type(),
                 now=now,
-                accounts=[door.TenantShare(tenant.per_second) for tenant in orders.accounts.values()],
+                accounts=[door.TenantShare(tenant.per_second) for tenant in settings.accounts.values()],
             )
-            if not orders.record_events:
+            if not settings.record_events:
                 return self.make_router(host, **arguments)
-            directory = self.base / orders.record_events
+            directory = self.base / settings.record_events
             directory.mkdir(parents=True, exist_ok=True)
             self.recorders.append(
                 Recorder(
                     self.make_router,
-                    directory / f"{orders.name}-{pool}-{int(time.time())}.events",
+                    directory / f"{settings.name}-{pool}-{int(time.time())}.events",
                     host,
-                    about=f"{orders.name} {pool}",
+                    about=f"{settings.name} {pool}",
                     **arguments,
                 )
             )
@@ -168,10 +168,12 @@
         return make
 
     def _workers_changed(self, entries):
-        unknown = sorted({e.pool for e in entries} - set(self.orders.pools))
+        unknown = sorted({e.pool for e in entries} - set(self.settings.pools))
         if unknown:
             self.log.warning("workers of pools that the orders do not name are passed over", pools=unknown)
-        changed = self.fleet.update([e for e in entries if e.pool in self.orders.pools], self.clock.now(), time.time())
+        changed = self.fleet.update(
+            [e for e in entries if e.pool in self.settings.pools], self.clock.now(), time.time()
+        )
         for _, endpoint, address in changed:
             self.engines.set_address(endpoint, address)
         self._notify_cores([(pool, endpoint) for pool, endpoint, _ in changed])
@@ -197,7 +199,7 @@
         if self.cluster is not None:
             await self.cluster.wait_for_permit_to_stop()
         self.log.info("router stops", pending=self.pools.pending())
-        await self.front.stop(self.orders.stop_within_s)
+        await self.front.stop(self.settings.stop_within_s)
         if self.cluster is not None:
             await self.cluster.stop()
         self._expiry_task.cancel()
--- a/ramppulley/load/evidence.py
+++ b/ramppulley/load/evidence.py
@@ -4,7 +4,7 @@
 
 from ramppulley.check.evidence import Evidence
 from ramppulley.load.scenario_settings import REQUEST_CLASSES
-from ramppulley.standin.demo import demo_orders
+from ramppulley.standin.demo import demo_settings
 
 S = 10_000  # tenths of a millisecond in a second
 RELEASE_TIMEOUT_S = 1.0
@@ -31,7 +31,7 @@
 
 def gather_evidence(requests, fleet, routers, event_loop_monitor, settings, starvation_monitor):
     """The evidence of a run that has ended. `settings`: those of any router of the run."""
-    rules = demo_orders(**settings).rules
+    rules = demo_settings(**settings).rules
     return Evidence(
         asked=requests,
         ledger=fleet.ledger,
--- a/ramppulley/load/grid.py
+++ b/ramppulley/load/grid.py
@@ -52,7 +52,9 @@
     """Endpoint ids of this router's subset, where all routers have the same traffic."""
     places = [subsets.Place(e.mark, e.role, e.cell, e.zone) for e in endpoints]
     peers = [subsets.Peer(f"r{n}", n % 2) for n in range(size.routers)]
-    return subsets.View(peers, places, subsets.part_of(len(peers), len(places), MIN_SUBSET_WORKERS)).subset(peers[0])
+    return subsets.View(peers, places, subsets.subset_fraction(len(peers), len(places), MIN_SUBSET_WORKERS)).subset(
+        peers[0]
+    )
 
 
 class SimulatedFleet:
--- a/ramppulley/load/rings.py
+++ b/ramppulley/load/rings.py
@@ -9,7 +9,7 @@
 import csv
 from random import Random
 
-from ramppulley.cluster.subsets import Peer, Place, View, lot, mark_of, part_of
+from ramppulley.cluster.subsets import Peer, Place, View, mark_of, rendezvous_hash, subset_fraction
 
 MIN_SUBSET_WORKERS = 12
 FLEETS = ((4, 3, 3), (8, 4, 4), (16, 4, 4), (16, 8, 8))  # groups, prefill and decode workers of each group
@@ -34,7 +34,7 @@
     name = "subsets"
 
     def __init__(self, peers, places, previous_part=1.0):
-        self.part = part_of(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
+        self.part = subset_fraction(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
         self.view = View(peers, places, self.part)
 
     def subset_of(self, peer):
@@ -48,7 +48,7 @@
     """Subsets of about the size of ours, with equal shares for the workers of each role."""
 
     def __init__(self, peers, places, previous_part=1.0):
-        self.part = part_of(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
+        self.part = subset_fraction(len(peers), len(places), MIN_SUBSET_WORKERS, previous_part)
         self.peers, self.places = peers, places
         self.size = max(1, round(self.part * len(places)))
         self.subsets = {}
@@ -81,7 +81,7 @@
 
     def choose_subset(self, peer):
         router_id = mark_of(peer.name)
-        return {p.mark for p in sorted(self.places, key=lambda p: lot(router_id, p.mark))[: self.size]}
+        return {p.mark for p in sorted(self.places, key=lambda p: rendezvous_hash(router_id, p.mark))[: self.size]}
 
 
 class DeterministicSubsetting(Baseline):
@@ -106,7 +106,7 @@
         return number / len(self.peers)
 
     def choose_subset(self, peer):
-        ids = sorted((p.mark for p in self.places), key=lambda i: lot(1, i))
+        ids = sorted((p.mark for p in self.places), key=lambda i: rendezvous_hash(1, i))
         first = int(self.ring_position([p.name for p in self.peers].index(peer.name)) * len(ids))
         return {ids[(first + n) % len(ids)] for n in range(self.size)}
 
--- a/ramppulley/load/routers.py
+++ b/ramppulley/load/routers.py
@@ -10,7 +10,7 @@
 
 from ramppulley.daemon.daemon import Daemon
 from ramppulley.load.ports import reserve_port
-from ramppulley.standin.demo import demo_orders
+from ramppulley.standin.demo import demo_settings
 
 S = 10_000  # tenths of a millisecond in a second
 START_TIMEOUT_S = 20
@@ -40,7 +40,7 @@
 
     async def start(self):
         """Starts the router on a free port."""
-        self.daemon = await Daemon(demo_orders(**self.settings), self.log, self.folder, self.make).start()
+        self.daemon = await Daemon(demo_settings(**self.settings), self.log, self.folder, self.make).start()
         self.port = self.daemon.front.port
 
     async def stop(self):
@@ -71,7 +71,7 @@
         self._write_settings(settings)
 
     def _write_settings(self, settings):
-        checked = demo_orders(**settings | {"listen": {"port": self.port}})
+        checked = demo_settings(**settings | {"listen": {"port": self.port}})
         self.path.write_text(json.dumps(checked.model_dump(exclude_none=True)))
 
     def command(self):
--- a/ramppulley/peers/datagrams.py
+++ b/ramppulley/peers/datagrams.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from ramppulley.cluster.seal import MOST, Unfit
+from ramppulley.cluster.seal import MAX_DATAGRAM_SIZE, InvalidDatagram
 from ramppulley.service.clock import TENTHS
 
 MIN_TICK_DELAY = 10  # between two ticks, tenths of a millisecond: a state machine that is always due can't busy-loop
@@ -11,7 +11,7 @@
 SOCKET_BUFFER = 1 << 20  # receive and send buffer of the socket, bytes
 
 
-def bound(host, port):
+def bind_socket(host, port):
     """A bound UDP socket for `Datagrams`; raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -58,14 +58,14 @@
         now = self.clock.now()
         for _ in range(READ_BATCH):
             try:
-                data, address = self.sock.recvfrom(MOST + 1)
+                data, address = self.sock.recvfrom(MAX_DATAGRAM_SIZE + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:  # an ICMP error in response to a datagram that we sent
                 continue
             try:
                 header, payload = self.seal.open(data)
-            except Unfit:
+            except InvalidDatagram:
                 continue  # counted by the seal
             machine = self.machines.get(header.kind)
             if machine is not None:
@@ -94,7 +94,7 @@
         finally:  # the timer is set even if a machine raises, so that the others keep running
             self._schedule(due)
 
-    def soon(self, kind, at):
+    def reschedule(self, kind, at):
         """The host changed the state of this machine: it may be due earlier now, at `at`."""
         self.changed_kinds.add(kind)
         if self.loop is not None and at < self.due_at:
@@ -105,7 +105,7 @@
         self.due_at = at
         self.timer = self.loop.call_later(max(MIN_TICK_DELAY, at - self.clock.now()) / TENTHS, self._run_machines)
 
-    def turn(self):
+    def run_all_machines(self):
         """Runs all machines, after the host changed the state of some."""
         if self.loop is not None:
             self.changed_kinds.update(self.machines)
--- a/ramppulley/standin/demo.py
+++ b/ramppulley/standin/demo.py
@@ -32,7 +32,7 @@
     return StandinFleet(machines(), list_path)
 
 
-def demo_orders(port=0, **more):
+def demo_settings(port=0, **more):
     """Settings for the demo fleet; `more` replaces whole sections."""
     return RouterSettings.model_validate(
         {
--- a/ramppulley/standin/disk.py
+++ b/ramppulley/standin/disk.py
@@ -54,17 +54,17 @@
         super().replace(path, raw[: self.rng.randrange(1, len(raw))] if self.fault == "torn" else raw)
 
     # For the files of a log
-    def whole(self, path):
+    def read_all(self, path):
         if self.fault == "unreadable":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        raw = super().whole(path)
+        raw = super().read_all(path)
         if raw and self.fault == "flipped":
             position = self.rng.randrange(len(raw))
             raw = raw[:position] + bytes([raw[position] ^ 1 << self.rng.randrange(8)]) + raw[position + 1 :]
         return raw[: len(raw) // 2] if self.fault == "old" else raw
 
-    def begin(self, path):
-        file = super().begin(path)
+    def create(self, path):
+        file = super().create(path)
         self.durable_sizes[Path(path)] = 0
         return file
 
--- a/ramppulley/standin/links.py
+++ b/ramppulley/standin/links.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ramppulley.cluster.seal import TAG, head_of
-from ramppulley.peers.datagrams import bound
+from ramppulley.cluster.seal import TAG_SIZE, unverified_header
+from ramppulley.peers.datagrams import bind_socket
 
 # Before each datagram: its target port on the way to the relay, its source port on the way from it.
 PORT_HEADER = struct.Struct(">H")
@@ -84,7 +84,7 @@
 def message_kind_of(data):
     """The kind of the membership message in a datagram, "" if it cannot be decoded."""
     try:
-        return _message_prefixes.decode(data[4 + data[3] : -TAG]).kind
+        return _message_prefixes.decode(data[4 + data[3] : -TAG_SIZE]).kind
     except msgspec.MsgspecError:
         return ""
 
@@ -97,7 +97,7 @@
         self.lives = set()  # (router, life, incarnation) of all datagrams
         self.pinged = {}  # (source, target) -> time of the last probe: routers probe those that they consider alive
         self.crossed = deque(maxlen=512)  # the last datagrams, to be replayed
-        self.sock = bound("127.0.0.1", 0)
+        self.sock = bind_socket("127.0.0.1", 0)
         self.port = self.sock.getsockname()[1]
 
     def start(self, loop):
@@ -114,8 +114,8 @@
             port, data = PORT_HEADER.unpack_from(raw)[0], raw[PORT_HEADER.size :]
             pair = self.names.get(source, str(source)), self.names.get(port, str(port))
             self.crossed.append(data)
-            if (head := head_of(data)) is not None:
-                self.lives.add((pair[0], head.life, head.incarnation))
+            if (head := unverified_header(data)) is not None:
+                self.lives.add((pair[0], head.run_id, head.incarnation))
                 if head.kind == "members" and message_kind_of(data) == "ping":
                     self.pinged[pair] = self.clock()
             for delay in self.links.fate(pair, self.clock(), data):
@@ -152,7 +152,7 @@
     """A router's socket that sends and receives through the relay, with the addresses of a direct exchange."""
 
     def __init__(self, host, port, relay):
-        self.sock, self.relay = bound(host, port), ("127.0.0.1", relay)
+        self.sock, self.relay = bind_socket(host, port), ("127.0.0.1", relay)
         self.getsockname, self.fileno, self.close = self.sock.getsockname, self.sock.fileno, self.sock.close
 
     def sendto(self, data, address):
--- a/ramppulley/standin/mutants.py
+++ b/ramppulley/standin/mutants.py
@@ -21,7 +21,7 @@
 
 def forgetful():
     """Restarts its incarnations from 0 at each start, without asking its peers."""
-    snapshot.read, cluster.SILENCE_MAX = lambda raw, name, router: snapshot.Kept(name, router, 0), 0
+    snapshot.decode, cluster.SILENCE_MAX = lambda raw, name, router: snapshot.Snapshot(name, router, 0), 0
 
 
 def meek():
@@ -63,8 +63,8 @@
 
     def only_last(self, head):
         lives = self.senders.get(head.sender, ())
-        if any(one.run_id == head.life for one in lives[:-1]):
-            raise seal.Unfit("replayed")
+        if any(one.run_id == head.run_id for one in lives[:-1]):
+            raise seal.InvalidDatagram("replayed")
         check_sequence(self, head)
 
     seal.Seal._check_sequence = only_last
@@ -72,7 +72,7 @@
 
 def level():
     """Does not report its traffic to its peers."""
-    members.Members.told_traffic = lambda self, traffic: None
+    members.Members.set_traffic = lambda self, traffic: None
 
 
 def patient():
@@ -100,7 +100,7 @@
 
 def trustful():
     """Does not compare peer reports with its own load reports."""
-    signals.Signals.saw = lambda self, now, endpoint_id, waiting, ours: None
+    signals.Signals.check_claims = lambda self, now, endpoint_id, waiting, ours: None
 
 
 def ageless():
@@ -120,7 +120,7 @@
 
 def turnless():
     """Acts without waiting for a permit."""
-    turns.Turns.may = lambda self, now, thing: True
+    turns.LeaseManager.may_act = lambda self, now, thing: True
 
 
 MUTANTS = {
--- a/ramppulley/store/disk.py
+++ b/ramppulley/store/disk.py
@@ -27,15 +27,15 @@
         self._sync_directory(path)
 
     # Files of a log
-    def names(self, folder):
+    def list_files(self, folder):
         """Sorted names of the files in a folder, which is created if it doesn't exist."""
         Path(folder).mkdir(parents=True, exist_ok=True)
         return sorted(path.name for path in Path(folder).iterdir() if path.is_file())
 
-    def whole(self, path):
+    def read_all(self, path):
         return Path(path).read_bytes()
 
-    def begin(self, path):
+    def create(self, path):
         """Creates a file to append to, with a durable directory entry. Raises FileExistsError."""
         file = open(path, "xb", buffering=0)
         self._sync_directory(path)
--- a/ramppulley/store/frames.py
+++ b/ramppulley/store/frames.py
@@ -46,7 +46,7 @@
     tail."""
 
     records: list = field(default_factory=list)
-    rots: list = field(default_factory=list)  # CorruptRange
+    corrupt_ranges: list = field(default_factory=list)  # CorruptRange
     end: int = 0
     checksum: int = 0
     number: int = 0  # of the next record
@@ -97,7 +97,7 @@
     >>> second, _ = encode_frame(log, Record(6, 1, 1, b"b"), 5, checksum)
     >>> scan_segment(log, first + second[:9], 5, 0).torn, scan_segment(log, first + second, 5, 0).number
     (9, 7)
-    >>> scan_segment(log, b"x" + first[1:] + second, 5, 0).rots
+    >>> scan_segment(log, b"x" + first[1:] + second, 5, 0).corrupt_ranges
     [CorruptRange(first=5, end=6, at=0)]
     """
     found, at = Scan(checksum=previous, number=number), 0
@@ -116,11 +116,11 @@
         if until is None and flushed < found.number:  # neither the damaged record nor those after it were confirmed
             found.torn = len(raw) - at
             break
-        found.rots.append(CorruptRange(found.number, record.number, at))
+        found.corrupt_ranges.append(CorruptRange(found.number, record.number, at))
         found.number, found.checksum, at = record.number, previous, offset
     if until is not None:
         if found.number < until:
-            found.rots.append(CorruptRange(found.number, until, found.end))
+            found.corrupt_ranges.append(CorruptRange(found.number, until, found.end))
         found.number, found.torn = until, 0
     return found
 
--- a/ramppulley/store/log.py
+++ b/ramppulley/store/log.py
@@ -30,7 +30,7 @@
 SUFFIX = ".seg"
 
 
-class Unfit(ValueError):
+class InvalidLog(ValueError):
     """The folder isn't a log of this router. The message has the reason; nothing was changed in the folder."""
 
 
@@ -60,13 +60,13 @@
 
 @dataclass
 class LogContent:
-    """Content of a log when it was opened. `new`: there was no log. `rots`: ranges of confirmed records that can't be read.
+    """Content of a log when it was opened. `new`: there was no log. `corrupt_ranges`: confirmed records that can't be read.
     `torn`: bytes of unconfirmed records after the last one; they stay on disk, and are ignored from the next segment's first
     number on.
     """
 
     records: list = field(default_factory=list)
-    rots: list = field(default_factory=list)  # CorruptRange
+    corrupt_ranges: list = field(default_factory=list)  # CorruptRange
     torn: int = 0
     new: bool = False
     generation: int = 0
@@ -83,56 +83,58 @@
     return f"{number:020d}{SUFFIX}"
 
 
-def mark_of(disk, folder):
-    """The LogIdentity of a folder, None if there is no log; raises Unfit and OSError."""
+def read_identity(disk, folder):
+    """The LogIdentity of a folder, None if there is no log; raises InvalidLog and OSError."""
     raw = disk.read(folder / IDENTITY_FILE, MAX_IDENTITY_FILE_SIZE)
     if raw is None:
         return None
     try:
         identity = msgspec.msgpack.decode(raw, type=LogIdentity)
     except msgspec.MsgspecError as fault:
-        raise Unfit(f"{folder / IDENTITY_FILE}: not readable: {fault}; it is never started over as if empty") from fault
+        raise InvalidLog(
+            f"{folder / IDENTITY_FILE}: not readable: {fault}; it is never started over as if empty"
+        ) from fault
     if identity.version != VERSION:
-        raise Unfit(f"{folder / IDENTITY_FILE}: version {identity.version}; this program reads {VERSION}")
+        raise InvalidLog(f"{folder / IDENTITY_FILE}: version {identity.version}; this program reads {VERSION}")
     if len(identity.identity) != IDENTITY_SIZE:
-        raise Unfit(f"{folder / IDENTITY_FILE}: an identity of {len(identity.identity)} bytes")
+        raise InvalidLog(f"{folder / IDENTITY_FILE}: an identity of {len(identity.identity)} bytes")
     return identity
 
 
 def read_log(folder, cluster, owner, disk):
     """(LogIdentity, LogContent, segments, checksum of the last frame, number of the next record); changes nothing.
 
-    Raises Unfit and OSError. The LogIdentity is None if there is no log.
+    Raises InvalidLog and OSError. The LogIdentity is None if there is no log.
     """
-    identity, names = mark_of(disk, folder), [name for name in disk.names(folder) if name.endswith(SUFFIX)]
+    identity, names = read_identity(disk, folder), [name for name in disk.list_files(folder) if name.endswith(SUFFIX)]
     if identity is None:
         if names:
-            raise Unfit(
+            raise InvalidLog(
                 f"{folder}: has {len(names)} segments and no {IDENTITY_FILE}; it is never started over as if empty"
             )
         return None, LogContent(new=True), [], 0, 0
     if (identity.cluster, identity.owner) != (cluster, owner):
-        raise Unfit(f"{folder}: the log of router {identity.owner!r} of cluster {identity.cluster!r}")
+        raise InvalidLog(f"{folder}: the log of router {identity.owner!r} of cluster {identity.cluster!r}")
     numbers = sorted(int(name.removesuffix(SUFFIX)) for name in names if name.removesuffix(SUFFIX).isdigit())
     content, segments, checksum, number = LogContent(generation=identity.generation), [], identity.check, identity.base
     for index, first in enumerate(numbers):
         until = numbers[index + 1] if index + 1 < len(numbers) else None
         if first > number:
-            content.rots.append(CorruptRange(number, first, 0))
-        raw = disk.whole(folder / _name(first))
+            content.corrupt_ranges.append(CorruptRange(number, first, 0))
+        raw = disk.read_all(folder / _name(first))
         if first > number:  # the previous frame is lost: the checksum that this segment has of it can't be verified
             frame = decode_frame(identity.identity, raw, 0)
             checksum = checksum if frame is None else frame[2]
         scan = scan_segment(identity.identity, raw, first, checksum, until)
         segments.append(_Segment(folder / _name(first), first, checksum))
         content.records += [record for record in scan.records if record.kind != SEGMENT_HEADER]
-        content.rots += scan.rots
+        content.corrupt_ranges += scan.corrupt_ranges
         content.torn, checksum, number = scan.torn, scan.checksum, scan.number
     return identity, content, segments, checksum, number
 
 
 def open_log(folder, cluster, owner, disk, rng, **options):
-    """(Log, LogContent) of the log in a folder, created if there is none. Raises Unfit, and OSError from the disk."""
+    """(Log, LogContent) of the log in a folder, created if there is none. Raises InvalidLog, and OSError from the disk."""
     identity, content, segments, checksum, number = read_log(folder, cluster, owner, disk)
     if identity is None:
         identity = LogIdentity(
@@ -248,7 +250,7 @@
         path = self.folder / _name(self.number)
         if self.segments and self.segments[-1].first == self.number:  # none of its records was ever flushed
             self.disk.remove(self.segments.pop().path)
-        self.file, self.size = self.disk.begin(path), 0
+        self.file, self.size = self.disk.create(path), 0
         self.segments.append(_Segment(path, self.number, self.checksum))
         self._write_batch(
             [(SEGMENT_HEADER, msgspec.msgpack.encode(SegmentHeader(self.identity.owner, self.identity.generation)))]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -10,7 +10,7 @@
 from ramppulley.daemon.daemon import Daemon
 from ramppulley.load.client import ask
 from ramppulley.rules import Router
-from ramppulley.standin.demo import CHAT, VECTORS, demo_orders, machines
+from ramppulley.standin.demo import CHAT, VECTORS, demo_settings, machines
 from ramppulley.standin.fleet import StandinFleet
 
 LOG = structlog.get_logger().bind()
@@ -27,7 +27,7 @@
             machines(**self.fleet_shape), Path(self.folder.name) / "workers.json5", self.extensions
         ).start()
         self.daemon = await Daemon(
-            demo_orders(stop_within_s=1.0, **self.orders), LOG, self.folder.name, self.make
+            demo_settings(stop_within_s=1.0, **self.orders), LOG, self.folder.name, self.make
         ).start()
         self.port, self.pools = self.daemon.front.port, self.daemon.pools
         return self
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -78,7 +78,7 @@
 
 def test_one_that_forgot_all_asks_first_and_uses_no_incarnation_again():
     net = converged_net()
-    net.members["i4"].told_traffic(5)
+    net.members["i4"].set_traffic(5)
     net._collect_output("i4", net.members["i4"])
     net.run(net.now + 30 * S)
     used = net.members["i4"].incarnation
@@ -93,7 +93,7 @@
 
 def test_a_seed_that_was_killed_too_and_remembers_nothing_is_no_answer():
     net = converged_net()
-    net.members["i4"].told_traffic(5)
+    net.members["i4"].set_traffic(5)
     net._collect_output("i4", net.members["i4"])
     net.run(net.now + 30 * S)
     for name in ("i0", "i4"):
@@ -124,7 +124,7 @@
         member.members["i4"].incarnation = 50
     member = net.start("i4", silence=S, incarnation_limit=20)
     net.run(net.now + 5 * S)
-    assert member.incarnation == 0 and member.heard_of_self == 50
+    assert member.incarnation == 0 and member.highest_observed == 50
     member.local.incarnation_limit = 2000
     net.run(net.now + 5 * S)
     assert member.incarnation >= 51
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,13 +8,13 @@
 from rig import LOG, story
 
 from ramppulley.cluster import showing, snapshot
-from ramppulley.cluster.seal import MOST, Seal, Unfit
+from ramppulley.cluster.seal import MAX_DATAGRAM_SIZE, InvalidDatagram, Seal
 from ramppulley.cluster.token_bucket import TokenBucket
 from ramppulley.daemon import asking, json5
 from ramppulley.daemon.cluster import Cluster
 from ramppulley.daemon.daemon import Daemon
 from ramppulley.daemon.orders import RouterSettings
-from ramppulley.standin.demo import demo_orders
+from ramppulley.standin.demo import demo_settings
 from ramppulley.standin.disk import LyingDisk
 
 KEY = b"k" * 32
@@ -25,7 +25,7 @@
 
 
 def rejection_cause(receiver, data):
-    with pytest.raises(Unfit) as raised:
+    with pytest.raises(InvalidDatagram) as raised:
         receiver.open(data)
     return str(raised.value)
 
@@ -40,7 +40,7 @@
 
 def test_what_is_not_ours_is_counted_by_its_cause_and_changes_nothing():
     ours, raw = make_seal("a"), make_seal("b").seal("members", b"news")
-    assert rejection_cause(ours, raw + b"x" * MOST) == "too long"
+    assert rejection_cause(ours, raw + b"x" * MAX_DATAGRAM_SIZE) == "too long"
     assert rejection_cause(ours, raw[:8]) == "too short"
     assert rejection_cause(ours, b"XX" + raw[2:]) == "not ours"
     assert rejection_cause(ours, raw[:2] + b"\x09" + raw[3:]) == "other version"
@@ -48,7 +48,7 @@
     assert rejection_cause(ours, make_seal("b", key=b"j" * 32).seal("members", b"news")) == "forged"
     assert rejection_cause(ours, make_seal("b", cluster="d").seal("members", b"news")) == "other cluster"
     assert rejection_cause(ours, make_seal("a").seal("members", b"news")) == "own"
-    assert sum(ours.count.values()) == 8 and not ours.senders and not ours.twice
+    assert sum(ours.count.values()) == 8 and not ours.senders and not ours.duplicate_names
 
 
 def test_a_hundred_thousand_forged_ones_leave_no_trace():
@@ -58,7 +58,7 @@
         bad = raw[:at] + bytes([raw[at] ^ 1 << rng.randrange(8)]) + raw[at + 1 : rng.choice((None, None, -at or None))]
         try:
             ours.open(bad)
-        except Unfit:
+        except InvalidDatagram:
             continue
         raise AssertionError(bad)
     assert sum(ours.count.values()) == 100_000 and not ours.senders
@@ -71,14 +71,14 @@
     ours.open(before.seal("members", b"x"))
     ours.open(after.seal("members", b"y"))
     ours.open(old)  # sent before the restart, delivered after it
-    assert rejection_cause(ours, old) == "replayed" and not ours.twice
+    assert rejection_cause(ours, old) == "replayed" and not ours.duplicate_names
 
 
 def test_two_lives_of_one_name_heard_in_turn_are_told():
     ours, first_run, second_run = make_seal("a"), make_seal("b", seed=1), make_seal("b", seed=2)
     for sender in (first_run, second_run, first_run, second_run, first_run):
-        assert not ours.twice and ours.open(sender.seal("members", b"x"))[1] == b"x"
-    assert ours.twice == ["b"]
+        assert not ours.duplicate_names and ours.open(sender.seal("members", b"x"))[1] == b"x"
+    assert ours.duplicate_names == ["b"]
 
 
 def test_one_who_hears_its_own_name_again_and_again_tells_it():
@@ -87,20 +87,20 @@
         make_seal("a", seed=2, incarnation=3),
         make_seal("a", seed=3),
     )
-    assert rejection_cause(ours, previous_run.seal("members", b"x")) == "own name" and not ours.twice
-    assert rejection_cause(ours, other_run.seal("members", b"x")) == "own name" and ours.twice == ["a"]
+    assert rejection_cause(ours, previous_run.seal("members", b"x")) == "own name" and not ours.duplicate_names
+    assert rejection_cause(ours, other_run.seal("members", b"x")) == "own name" and ours.duplicate_names == ["a"]
 
 
 def test_a_view_is_told_page_by_page_within_a_budget():
     rows = [[f"r{n}", "alive", n, "north", "", 0, "127.0.0.1", 1, 2] for n in range(200)]
-    showing_machine, received = showing.Showing(lambda: rows, TokenBucket(1, 30)), []
+    view_server, received = showing.ViewServer(lambda: rows, TokenBucket(1, 30)), []
     while len(received) < len(rows):
-        showing_machine.take(0, ("x", 1), showing.ask(len(received)))
-        received += showing.page(showing_machine.out.pop()[1]).rows
+        view_server.take(0, ("x", 1), showing.encode_request(len(received)))
+        received += showing.decode_page(view_server.out.pop()[1]).rows
     assert received == rows
     for _ in range(40):
-        showing_machine.take(0, ("x", 1), showing.ask(0))
-    assert len(showing_machine.out) < 30
+        view_server.take(0, ("x", 1), showing.encode_request(0))
+    assert len(view_server.out) < 30
 
 
 class Clock:
@@ -110,7 +110,7 @@
 
 def make_cluster(folder, disk=None, log=LOG, **peer_settings):
     (folder / "key").write_bytes(KEY)
-    orders = demo_orders(name="r0", peers={"cluster": "c", "key_file": "key", "snapshot": "r0.snap", **peer_settings})
+    orders = demo_settings(name="r0", peers={"cluster": "c", "key_file": "key", "snapshot": "r0.snap", **peer_settings})
     return Cluster(orders, folder, Clock(), None, lambda: 0, None, log, disk)
 
 
@@ -153,7 +153,7 @@
 
 
 def test_bad_settings_end_the_start_with_file_and_field_before_anything_listens(tmp_path):
-    base_settings = json.loads(demo_orders(name="r0").model_dump_json(exclude_none=True))
+    base_settings = json.loads(demo_settings(name="r0").model_dump_json(exclude_none=True))
 
     def settings_error(**peer_settings):
         peers = {"cluster": "c", "key_file": "key", "snapshot": "s", **peer_settings}
@@ -165,11 +165,11 @@
     assert "must look like HOST:PORT" in settings_error(seeds=["there"])
     assert "peers.subset.workers_least" in settings_error(subset={"workers_least": 1})
     make_cluster(tmp_path)
-    (tmp_path / "r0.snap").write_bytes(snapshot.packed(snapshot.Kept("c", "other", 5)))
+    (tmp_path / "r0.snap").write_bytes(snapshot.encode(snapshot.Snapshot("c", "other", 5)))
     with pytest.raises(json5.InvalidFileError, match="peers.snapshot: .*r0.snap: of router 'other'"):
         make_cluster(tmp_path)
     with pytest.raises(json5.InvalidFileError, match="peers.key_file: .*: 3 bytes"):
-        orders = demo_orders(name="r0", peers={"cluster": "c", "key_file": "short", "snapshot": "s"})
+        orders = demo_settings(name="r0", peers={"cluster": "c", "key_file": "short", "snapshot": "s"})
         (tmp_path / "short").write_bytes(b"abc")
         Cluster(orders, tmp_path, Clock(), None, None, None, LOG)
 
@@ -182,7 +182,7 @@
         (tmp_path / "workers.json5").write_text("{workers: []}")
         peers = {"cluster": "c", "key_file": "key", "snapshot": "r0.snap"} | shared
         before = asyncio.all_tasks()
-        router = await Daemon(demo_orders(name="r0", peers=peers), LOG, tmp_path).start()
+        router = await Daemon(demo_settings(name="r0", peers=peers), LOG, tmp_path).start()
         await router.stop()
         assert asyncio.all_tasks() == before
 
@@ -200,7 +200,7 @@
         (folder / "workers.json5").write_text("{workers: []}")
 
         def orders(number, seeds):
-            return demo_orders(
+            return demo_settings(
                 name=f"r{number}",
                 peers={
                     "cluster": "c",
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -636,7 +636,7 @@
         assert rig.fleet.yard.states
         for worker in rig.daemon.engines.workers.values():
             slow_handshakes(worker.connections)
-        rig.daemon.orders.stop_within_s = 0.0
+        rig.daemon.settings.stop_within_s = 0.0
         await rig.daemon.stop()
         assert not rig.fleet.yard.states and not rig.daemon.engines.has_releases()
         client.sock.close()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -57,7 +57,7 @@
                 self.in_transit.remove(datagram)
                 _, a, b, run_id, payload = datagram
                 if b not in self.dead:
-                    self.signals[b].take(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}", life=run_id))
+                    self.signals[b].take(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}", run_id=run_id))
             for n, router in enumerate(self.signals):
                 if n not in self.dead and router.due() <= self.clock(n):
                     router.tick(self.clock(n))
@@ -172,11 +172,11 @@
     net.change_rows(2, row(prefill_tokens=900))
     net.run(2 * S)
     for _ in range(4):
-        net.signals[0].saw(net.now, 7, 1000, 100)
+        net.signals[0].check_claims(net.now, 7, 1000, 100)
     assert net.signals[0].peers["r1"].trust < 0.2 and net.signals[0].peers["r2"].trust == 1
     net.change_rows(1, row(prefill_tokens=900))
     net.run(S)
-    net.signals[0].saw(net.now, 7, 1000, 100)
+    net.signals[0].check_claims(net.now, 7, 1000, 100)
     assert net.signals[0].peers["r1"].trust < 0.25
 
 
@@ -185,26 +185,26 @@
     net.change_rows(1, row(prefill_tokens=1))
     net.run(2 * S)
     for _ in range(60):
-        net.signals[0].saw(net.now, 7, 5000, 0)
+        net.signals[0].check_claims(net.now, 7, 5000, 0)
     assert net.heard()[7].known < 0.1
     net.change_rows(1, row(prefill_tokens=5000))
     net.run(S)
     for _ in range(60):
-        net.signals[0].saw(net.now, 7, 5000, 0)
+        net.signals[0].check_claims(net.now, 7, 5000, 0)
     assert net.heard()[7].known > 0.9
 
 
 def test_rubbish_and_strangers_are_counted_and_change_nothing():
     receiver = Signals(list, lambda: {"b": 1}, Random(1), 0)
     good = signals._encoder.encode(signals.SignalMessage(1, 1, 0, 0, True, [row()]))
-    receiver.take(5, 1, good, SimpleNamespace(sender="c", life=1))
-    receiver.take(5, 1, b"\xff" + good, SimpleNamespace(sender="b", life=1))
+    receiver.take(5, 1, good, SimpleNamespace(sender="c", run_id=1))
+    receiver.take(5, 1, b"\xff" + good, SimpleNamespace(sender="b", run_id=1))
     for bad in (row(failure_percent=101), row(kv_tokens=-1), row(mark=1 << 40), row(prefill_tokens=-1)):
         receiver.take(
             5,
             1,
             signals._encoder.encode(signals.SignalMessage(1, 1, 0, 0, True, [bad])),
-            SimpleNamespace(sender="b", life=1),
+            SimpleNamespace(sender="b", run_id=1),
         )
     assert receiver.count == {"stranger": 1, "unreadable": 1, "out of bounds": 4} and not receiver.peers
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,7 +13,7 @@
 from ramppulley.store import frames
 from ramppulley.store.disk import Disk
 from ramppulley.store.frames import IDENTITY_SIZE, CorruptRange, Record, encode_frame, scan_segment
-from ramppulley.store.log import IDENTITY_FILE, LogUnavailable, Unfit, open_log, read_log
+from ramppulley.store.log import IDENTITY_FILE, InvalidLog, LogUnavailable, open_log, read_log
 
 LOG = b"i" * IDENTITY_SIZE
 
@@ -33,7 +33,7 @@
     for cut in range(len(raw) + 1):
         found = scan_segment(LOG, raw[:cut], 0, 0)
         whole = sum(end <= cut for end in ends)
-        assert [r.number for r in found.records] == list(range(whole)) and not found.rots
+        assert [r.number for r in found.records] == list(range(whole)) and not found.corrupt_ranges
         assert found.end == ([0] + ends)[whole] and found.torn == cut - found.end
 
 
@@ -41,7 +41,7 @@
     raw, ends, _ = make_segment(4)
     for seed in range(200):
         found = scan_segment(LOG, raw + Random(seed).randbytes(1 + seed), 0, 0)
-        assert len(found.records) == 4 and not found.rots and found.end == ends[-1]
+        assert len(found.records) == 4 and not found.corrupt_ranges and found.end == ends[-1]
 
 
 def test_a_flipped_bit_before_what_is_known_to_be_flushed_is_rot_and_the_rest_is_still_read():
@@ -49,7 +49,9 @@
     for at in range(ends[5]):
         damaged = raw[:at] + bytes([raw[at] ^ 1 << at % 8]) + raw[at + 1 :]
         found, damaged_number = scan_segment(LOG, damaged, 0, 0), sum(end <= at for end in ends)
-        assert found.rots == [CorruptRange(damaged_number, damaged_number + 1, ([0] + ends)[damaged_number])], at
+        assert found.corrupt_ranges == [
+            CorruptRange(damaged_number, damaged_number + 1, ([0] + ends)[damaged_number])
+        ], at
         assert [r.number for r in found.records] == [n for n in range(8) if n != damaged_number]
 
 
@@ -57,16 +59,16 @@
     raw, ends, _ = make_segment(6, flushed=lambda n: min(n, 3))  # numbers under 3 are flushed
     damaged = raw[: ends[3] + 2] + b"\0" * 8 + raw[ends[3] + 10 :]
     found = scan_segment(LOG, damaged, 0, 0)
-    assert [r.number for r in found.records] == [0, 1, 2, 3] and not found.rots and found.torn
+    assert [r.number for r in found.records] == [0, 1, 2, 3] and not found.corrupt_ranges and found.torn
 
 
 def test_a_closed_segment_has_no_torn_tail():
     raw, ends, _ = make_segment(5)
     found = scan_segment(LOG, raw[:-3], 0, 0, until=5)
-    assert found.rots == [CorruptRange(4, 5, ends[3])] and not found.torn
+    assert found.corrupt_ranges == [CorruptRange(4, 5, ends[3])] and not found.torn
     # frames left by a failed flush were written again in the next segment
     found = scan_segment(LOG, raw, 0, 0, until=3)
-    assert [r.number for r in found.records] == [0, 1, 2] and not found.rots and not found.torn
+    assert [r.number for r in found.records] == [0, 1, 2] and not found.corrupt_ranges and not found.torn
 
 
 @pytest.mark.parametrize("what", ["another log's", "an older life's", "of another place"])
@@ -82,7 +84,7 @@
     if what == "another log's":
         assert len(found.records) == 5 and found.torn == len(foreign)
     else:
-        assert found.rots and found.rots[0].first == 5
+        assert found.corrupt_ranges and found.corrupt_ranges[0].first == 5
 
 
 def test_a_record_too_large_is_refused_before_it_is_written():
@@ -123,7 +125,7 @@
         await append_records(folder, 5, max_segment_size=100)
     found = read(folder)
     assert [r.payload for r in found.records] == [b"%d" % n for n in range(5)] * 3
-    assert found.generation == 3 and not found.rots and not found.new
+    assert found.generation == 3 and not found.corrupt_ranges and not found.new
     assert sorted({r.number for r in found.records}) == [r.number for r in found.records]
 
 
@@ -148,7 +150,7 @@
         before = len(read(copy).records)
         assert len(await append_records(copy, 2)) == 2
         found = read(copy)
-        assert len(found.records) == before + 2 and not found.rots and not found.torn
+        assert len(found.records) == before + 2 and not found.corrupt_ranges and not found.torn
 
 
 @pytest.mark.parametrize("fault", ["flush_fails", "full", "torn", "lost", "elsewhere", "flush_lies"])
@@ -174,12 +176,12 @@
             readable = {(r.number, r.payload) for r in found.records}
             last = max((r.number for r in found.records), default=-1)
             for number, payload in confirmed:
-                lost = any(rot.first <= number < rot.end for rot in found.rots)
+                lost = any(corrupt.first <= number < corrupt.end for corrupt in found.corrupt_ranges)
                 # a lost tail is only detected by comparison with the replicas
                 tail = number > last and fault not in ("flush_fails", "full")
-                assert (number, payload) in readable or lost or tail, (fault, seed, number, found.rots)
+                assert (number, payload) in readable or lost or tail, (fault, seed, number, found.corrupt_ranges)
             if fault in ("flush_fails", "full"):
-                assert not found.rots
+                assert not found.corrupt_ranges
 
     scenario()
 
@@ -218,21 +220,21 @@
     await log.append(1, b"20")
     await log.close()
     remaining = [int(r.payload) for r in read(folder).records]
-    assert remaining[-11:] == list(range(10, 21)) and len(remaining) < 14 and not read(folder).rots
+    assert remaining[-11:] == list(range(10, 21)) and len(remaining) < 14 and not read(folder).corrupt_ranges
 
 
 @in_folder
 async def test_a_folder_that_is_not_ours_is_refused_and_left_as_it_is(folder):
     await append_records(folder, 2)
     for cluster, owner, text in (("d", "r0", "cluster 'c'"), ("c", "r1", "router 'r0'")):
-        with pytest.raises(Unfit, match=text):
+        with pytest.raises(InvalidLog, match=text):
             open_log(folder, cluster, owner, Disk(), Random(1))
     raw = (folder / IDENTITY_FILE).read_bytes()
     (folder / IDENTITY_FILE).write_bytes(raw[:5])
-    with pytest.raises(Unfit, match="never started over"):
+    with pytest.raises(InvalidLog, match="never started over"):
         opened(folder)
     (folder / IDENTITY_FILE).unlink()
-    with pytest.raises(Unfit, match="never started over"):
+    with pytest.raises(InvalidLog, match="never started over"):
         opened(folder)
     assert len(list(folder.glob("*.seg"))) == 1
 
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ramppulley.cluster.subsets import GUARANTEED_ROUTERS, Peer, Place, View, mark_of, part_of
+from ramppulley.cluster.subsets import GUARANTEED_ROUTERS, Peer, Place, View, mark_of, subset_fraction
 from ramppulley.load.rings import KINDS, Ours, Rendezvous, changed, fairness, fleet, routers, table
 
 
@@ -36,10 +36,10 @@
 
 
 def test_a_router_that_flaps_at_the_edge_of_a_part_moves_only_itself():
-    peers, places, part = routers(16), fleet(8, 4, 4), part_of(16, 64, 12)
+    peers, places, part = routers(16), fleet(8, 4, 4), subset_fraction(16, 64, 12)
     assert part == 0.5
     for count in (15, 16, 15, 14, 16):
-        part = part_of(count, len(places), 12, part)
+        part = subset_fraction(count, len(places), 12, part)
         assert part == 0.5
     moved, minimum, _ = changed(Ours, peers, places, peers[:-1], places)
     assert moved <= 2 * minimum
@@ -93,7 +93,7 @@
 
 def test_those_that_are_suspected_are_not_relied_on():
     places = fleet(4, 3, 3)
-    peers = [Peer("r0", 0)] + [Peer(f"r{n}", n % 2, sure=False) for n in range(1, 12)]
+    peers = [Peer("r0", 0)] + [Peer(f"r{n}", n % 2, reliable=False) for n in range(1, 12)]
     assert View(peers, places, 0.25).subset(peers[0]) == {p.mark for p in places}
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ramppulley.cluster import turns
-from ramppulley.cluster.turns import CLOCK_DRIFT, FALLBACK_DELAY, LEASE_TIME, MS, STALL_TIME, S, Turns
+from ramppulley.cluster.turns import CLOCK_DRIFT, FALLBACK_DELAY, LEASE_TIME, MS, STALL_TIME, LeaseManager, S
 
 SCRIPTS = int(os.environ.get("RP_SCRIPTS", "60"))
 # time after the start until the leases of previous runs have ended
@@ -24,7 +24,7 @@
         self.step, self.suspended_until, self.cut = [0] * count, [0] * count, lambda a, b: False
         self.view = [set(range(count)) - {n} for n in range(count)]
         self.members = [
-            Turns(name, lambda n=n: {f"r{m}": m for m in self.view[n]}, lambda: count, self.clock(n))
+            LeaseManager(name, lambda n=n: {f"r{m}": m for m in self.view[n]}, lambda: count, self.clock(n))
             for n, name in enumerate(self.names)
         ]
 
@@ -64,7 +64,7 @@
 
     def all_want(self, permits=1):
         for n, member in enumerate(self.members):
-            member.want(self.clock(n), "x", permits)
+            member.request(self.clock(n), "x", permits)
 
 
 def test_one_of_many_holds_it_and_after_it_another():
@@ -77,7 +77,7 @@
         for n in net.holders():
             if n not in past_holders:
                 past_holders.append(n)
-                net.members[n].leave(net.clock(n), "x")
+                net.members[n].release(net.clock(n), "x")
 
     net.run(8 * S, check)
     assert sorted(past_holders) == list(range(8))
@@ -96,7 +96,7 @@
     net.run(SETTLED)
     net.all_want()
     coordinator = int(net.members[0].coordinator("x")[1:])
-    net.members[coordinator].leave(net.clock(coordinator), "x")
+    net.members[coordinator].release(net.clock(coordinator), "x")
     net.run(S)
     holder = net.holders()[0]
     net.suspended_until[holder] = net.now + 10 * S
@@ -124,7 +124,7 @@
     net.run(SETTLED)
     old = int(net.members[0].coordinator("x")[1:])
     net.all_want()
-    net.members[old].leave(net.clock(old), "x")
+    net.members[old].release(net.clock(old), "x")
     net.run(S)
     holder = net.holders()[0]
     for n in range(9):
@@ -153,16 +153,16 @@
     net.all_want()
     follower = next(n for n in range(3) if net.members[n].coordinator("x") != f"r{n}")
     net.run(FALLBACK_DELAY - 200 * MS)
-    assert not net.members[follower].may(net.clock(follower), "x")
+    assert not net.members[follower].may_act(net.clock(follower), "x")
     net.run(400 * MS)
-    assert net.members[follower].may(net.clock(follower), "x") and not net.members[follower].holds(
+    assert net.members[follower].may_act(net.clock(follower), "x") and not net.members[follower].holds(
         net.clock(follower), "x"
     )
 
 
 def test_an_answer_to_an_asking_before_gives_no_time():
-    member = Turns("a", lambda: {"b": 1}, lambda: 2, 0)
-    member.want(0, "x")
+    member = LeaseManager("a", lambda: {"b": 1}, lambda: 2, 0)
+    member.request(0, "x")
     member.tick(0)
     late_grant = turns._encoder.encode(turns.LeaseMessage(1, "give", "x", member.wanted["x"].number))
     member.tick(3 * S)
@@ -171,7 +171,7 @@
 
 
 def test_rubbish_and_strangers_are_counted_and_change_nothing():
-    member = Turns("a", lambda: {"b": 1}, lambda: 2, 0)
+    member = LeaseManager("a", lambda: {"b": 1}, lambda: 2, 0)
     for message in (
         turns.LeaseMessage(1, "ask", "", 1),
         turns.LeaseMessage(1, "ask", "x" * 99, 1),
@@ -197,8 +197,8 @@
             holders = net.holders()
             assert len(holders) <= 1, (seed, holders)
             if holders and rng.random() < 0.01:
-                net.members[holders[0]].leave(net.clock(holders[0]), "x")
-                net.members[holders[0]].want(net.clock(holders[0]), "x")
+                net.members[holders[0]].release(net.clock(holders[0]), "x")
+                net.members[holders[0]].request(net.clock(holders[0]), "x")
             if rng.random() < 0.004:
                 net.suspended_until[rng.randrange(len(net.members))] = net.now + rng.randrange(4 * S)
             if rng.random() < 0.002:
