--- a/ramppulley/cluster/copies/register.py
+++ b/ramppulley/cluster/copies/register.py
@@ -69,7 +69,7 @@
     def recovering(self, key):
         return self.restarted and key not in self.recovered_keys
 
-    def take(self, sender, message):
+    def receive(self, sender, message):
         if message.kind == "told":
             return self._recover(sender, message)
         if message.to != self.identity:
@@ -175,7 +175,7 @@
     def _broadcast(self, message):
         self.out += [(name, msgspec.structs.replace(message, to=identity)) for name, identity in self.acceptors.items()]
 
-    def take(self, sender, message):
+    def receive(self, sender, message):
         if message.kind == "refused":
             self.highest_refused_round = max(self.highest_refused_round, message.state.promised.number)
         if self.done or message.key != self.key or message.ballot != self.ballot or sender not in self.acceptors:
--- a/ramppulley/cluster/members.py
+++ b/ramppulley/cluster/members.py
@@ -1,6 +1,6 @@
 """Group membership: SWIM with Lifeguard as a state machine that uses neither sockets nor the clock.
 
-`take`, `tick`, `join` and `leave` append packets to `out` and state changes to `events`; the host empties both.
+`receive`, `tick`, `join` and `leave` append packets to `out` and state changes to `events`; the host empties both.
 Times are integers in tenths of a millisecond on any monotonic clock; all randomness comes from one random source.
 Sources: SWIM, sections 3 and 4; Lifeguard, section IV (LHA probe, LHA suspicion, buddy system).
 """
@@ -140,7 +140,7 @@
         self._gossip(now)
         self.sync.tick(now)
 
-    def take(self, now: int, address: Address, data: bytes, header: object = None) -> None:
+    def receive(self, now: int, address: Address, data: bytes, header: object = None) -> None:
         """Handles one datagram from an address; an unreadable one is counted and has no other effect."""
         if self.local.left:
             return
@@ -158,7 +158,7 @@
         if handler is not None:
             handler(now, address, packet)
 
-    # Steps of `tick` and `take`
+    # Steps of `tick` and `receive`
     def _end_silence(self, now: int) -> None:
         if self.local.end_silence(now, self.config.probe_timeout):
             self.broadcasts.put(self.local.update())
--- a/ramppulley/cluster/showing.py
+++ b/ramppulley/cluster/showing.py
@@ -41,7 +41,7 @@
         self.budget = budget
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
         """Handles one page request; an unreadable or rate-limited request gets no answer."""
         try:
             request = _request_decoder.decode(payload)
@@ -74,7 +74,7 @@
         self.on_switch = on_switch
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
         """Handles one command; any other payload is ignored."""
         if payload in (b"on", b"off"):
             self.on_switch(payload == b"on")
--- a/ramppulley/cluster/signals.py
+++ b/ramppulley/cluster/signals.py
@@ -172,7 +172,7 @@
     """Sends our rows to the other routers and keeps theirs.
 
     `own_rows()` returns our rows, `present_peers()` {name: address} of the others. The host calls `changed` when attempts
-    started or ended. `take`, `tick`, `due` and `out` are the interface of all state machines of the cluster.
+    started or ended. `receive`, `tick`, `due` and `out` are the interface of all state machines of the cluster.
     """
 
     def __init__(
@@ -214,9 +214,8 @@
         self.tokens_updated_at = now
         if self.broadcast_at is not None and now >= self.broadcast_at:
             self.broadcast_at, rows = None, self._rows_to_send()
-            useful = (
-                self.known_share(now) >= MIN_KNOWN
-            )  # peers whose datagrams reach us too late hardly receive ours in time
+            # peers whose datagrams reach us too late hardly receive ours in time
+            useful = self.known_share(now) >= MIN_KNOWN
             for name in self.rng.sample(sorted(present), min(len(present), int(self.tokens))) if useful else ():
                 self._send(now, name, present[name], *rows)
         if now >= self.next_routine_at:
@@ -255,7 +254,7 @@
         self.out.append((address, _encoder.encode(SignalMessage(VERSION, now, echo, echo_age, complete, rows))))
 
     # Receiving
-    def take(self, now: int, address: Address, payload: bytes, header: Header) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: Header) -> None:
         """Handles one datagram; an unusable one is counted and has no other effect."""
         if (
             header.sender not in self.present_peers()
--- a/ramppulley/cluster/turns.py
+++ b/ramppulley/cluster/turns.py
@@ -66,7 +66,7 @@
     """Requests leases, and grants them where this router is the coordinator.
 
     `present_peers()` returns {name: address} of the other routers considered present, `known_count()` the number of all
-    routers remembered, including this one. `take`, `tick`, `due` and `out` are the interface of all state machines of the
+    routers remembered, including this one. `receive`, `tick`, `due` and `out` are the interface of all state machines of the
     cluster.
     """
 
@@ -176,7 +176,7 @@
         if address is not None:
             self.out.append((address, _encoder.encode(message)))
 
-    def take(self, now: int, address: Address, payload: bytes, header: Header) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: Header) -> None:
         """Handles one datagram; an unreadable or invalid one is counted and has no other effect."""
         self._observe(now)
         try:
--- a/ramppulley/load/nets.py
+++ b/ramppulley/load/nets.py
@@ -74,7 +74,7 @@
                 self._schedule(self.paused_until[name], kind, name, *args)
                 continue
             if kind == "data":
-                member.take(self.now, (args[0], 1), args[1])
+                member.receive(self.now, (args[0], 1), args[1])
                 self._collect_output(name, member)
             elif self.now >= member.due():  # otherwise the timer was rescheduled in the meantime
                 member.tick(self.now)
--- a/ramppulley/peers/datagrams.py
+++ b/ramppulley/peers/datagrams.py
@@ -26,7 +26,7 @@
 
 
 class Datagrams:
-    """One router's socket. `machines` by kind: each has `take(now, address, payload, header)`, `tick(now)`, `due()` and
+    """One router's socket. `machines` by kind: each has `receive(now, address, payload, header)`, `tick(now)`, `due()` and
     `out`.
 
     `on_run()` is called after each run of the machines. `seal` authenticates the datagrams.
@@ -69,7 +69,7 @@
                 continue  # counted by the seal
             machine = self.machines.get(header.kind)
             if machine is not None:
-                machine.take(now, address[:2], payload, header)
+                machine.receive(now, address[:2], payload, header)
                 self.changed_kinds.add(header.kind)
         self._run_machines()
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -70,7 +70,7 @@
                 del self.in_transit[index]
             if rng.random() < 0.9:  # else it is lost
                 if to in self.acceptors:
-                    self.acceptors[to].take(sender, message)
+                    self.acceptors[to].receive(sender, message)
                 elif to in proposals:
                     self.deliver(to, proposals[to], sender, message)
         elif draw < 0.85:
@@ -94,7 +94,7 @@
 
     def deliver(self, name, proposal, sender, message):
         was_done = proposal.done
-        proposal.take(sender, message)
+        proposal.receive(sender, message)
         if proposal.done and not was_done and name in self.proposals:
             self.on_done(name, proposal)
 
@@ -156,18 +156,18 @@
 
 def test_a_holder_with_another_disk_does_not_answer_for_the_one_before():
     acceptor = Acceptor("h-2", lambda key: {})
-    acceptor.take("r", Message("prepare", "k", Ballot(1, "r"), to="h-1"))
+    acceptor.receive("r", Message("prepare", "k", Ballot(1, "r"), to="h-1"))
     assert not acceptor.out and not acceptor.writes
 
 
 def test_a_recovering_holder_takes_over_what_the_others_know_before_it_votes():
     acceptor = Acceptor("h0", lambda key: {"h1": "h1", "h2": "h2"}, restarted=True)
-    acceptor.take("r", Message("prepare", "k", Ballot(1, "r"), to="h0"))
+    acceptor.receive("r", Message("prepare", "k", Ballot(1, "r"), to="h0"))
     assert [message.kind for _, message in acceptor.out] == ["tell", "tell"] and not acceptor.writes
-    acceptor.take("h1", Message("told", "k", Ballot(), AcceptorState(Ballot(9, "a"), Ballot(3, "a"), "v")))
+    acceptor.receive("h1", Message("told", "k", Ballot(), AcceptorState(Ballot(9, "a"), Ballot(3, "a"), "v")))
     assert acceptor.recovering("k")
-    acceptor.take("h2", Message("told", "k", Ballot(), AcceptorState(Ballot(4, "b"), Ballot(2, "b"), "w")))
+    acceptor.receive("h2", Message("told", "k", Ballot(), AcceptorState(Ballot(4, "b"), Ballot(2, "b"), "w")))
     assert acceptor.states["k"] == AcceptorState(Ballot(9, "a"), Ballot(3, "a"), "v") and not acceptor.recovering("k")
     acceptor.out.clear()
-    acceptor.take("r", Message("prepare", "k", Ballot(5, "r"), to="h0"))
+    acceptor.receive("r", Message("prepare", "k", Ballot(5, "r"), to="h0"))
     assert acceptor.out[0][1].kind == "refused"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -202,9 +202,9 @@
         packet("ping", MemberUpdate("b", "b", 0, "alive", 1, "b")),
         packet("ping", MemberUpdate("b", "b", 1, "alive", -1, "b")),
     ):
-        member.take(0, ("b", 1), data)
+        member.receive(0, ("b", 1), data)
     assert member.count["unreadable"] == 8 and not member.members and not member.out
-    member.take(0, ("b", 1), good)
+    member.receive(0, ("b", 1), good)
     assert member.alive() == ["b"] and len(member.out) == 1
 
 
@@ -212,25 +212,25 @@
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_do_more_than_be_counted(data):
     member = single_member()
-    member.take(0, ("b", 1), data)
+    member.receive(0, ("b", 1), data)
     member.tick(10 * S)
 
 
 def test_a_suspicion_of_ourselves_is_denied_and_our_own_name_from_elsewhere_is_counted():
     member = single_member()
-    member.take(0, ("b", 1), packet("tell", MemberUpdate("a", "a", 1, "suspect", 7, "b")))
+    member.receive(0, ("b", 1), packet("tell", MemberUpdate("a", "a", 1, "suspect", 7, "b")))
     assert member.incarnation == 8 and member.health == 1 and member.count["denied"] == 1
-    member.take(0, ("b", 1), packet("tell", sender="a"))
+    member.receive(0, ("b", 1), packet("tell", sender="a"))
     assert member.count["own name"] == 1
 
 
 def test_confirmations_of_different_accusers_shorten_a_suspicion_and_repetitions_do_not():
     member = single_member()
     for name in "bcdefg":
-        member.take(0, (name, 1), packet("tell", MemberUpdate(name, name, 1, "alive", 1, name), sender=name))
+        member.receive(0, (name, 1), packet("tell", MemberUpdate(name, name, 1, "alive", 1, name), sender=name))
     ends = []
     for by in "cccdef":
-        member.take(0, (by, 1), packet("tell", MemberUpdate("b", "b", 1, "suspect", 1, by), sender=by))
+        member.receive(0, (by, 1), packet("tell", MemberUpdate("b", "b", 1, "suspect", 1, by), sender=by))
         ends.append(member.members["b"].suspected_until)
     assert ends[0] == ends[1] == ends[2] > ends[3] > ends[4] > ends[5] == member.view.suspicion_timeout(4)
 
@@ -239,10 +239,10 @@
     member = single_member(members_max=3)
     for number in range(5):
         name = f"m{number}"
-        member.take(0, (name, 1), packet("tell", MemberUpdate(name, name, 1, "alive", 1, name), sender=name))
+        member.receive(0, (name, 1), packet("tell", MemberUpdate(name, name, 1, "alive", 1, name), sender=name))
     assert member.alive() == ["m0", "m1", "m2"] and member.count["no room"] == 2
-    member.take(0, ("m0", 1), packet("tell", MemberUpdate("m1", "m1", 1, "left", 2, "m1"), sender="m0"))
-    member.take(0, ("m4", 1), packet("tell", MemberUpdate("m4", "m4", 1, "alive", 1, "m4"), sender="m4"))
+    member.receive(0, ("m0", 1), packet("tell", MemberUpdate("m1", "m1", 1, "left", 2, "m1"), sender="m0"))
+    member.receive(0, ("m4", 1), packet("tell", MemberUpdate("m4", "m4", 1, "alive", 1, "m4"), sender="m4"))
     assert member.alive() == ["m0", "m2", "m4"]
 
 
@@ -276,8 +276,8 @@
 
 def test_a_helper_asks_for_another_and_says_no_in_time():
     member = single_member()
-    member.take(0, ("c", 1), packet("tell", MemberUpdate("c", "c", 1, "alive", 1, "c"), sender="c"))
-    member.take(0, ("b", 1), packet("ask", number=9, target="c"))
+    member.receive(0, ("c", 1), packet("tell", MemberUpdate("c", "c", 1, "alive", 1, "c"), sender="c"))
+    member.receive(0, ("b", 1), packet("ask", number=9, target="c"))
     assert words.decode_packet(member.out[-1][1]).kind == "ping" and member.out[-1][0] == ("c", 1)
     member.detector.next_probe_at = member.next_gossip_at = member.sync.next_at = 99 * S
     assert member.due() == 320 * MS
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -95,11 +95,11 @@
     rows = [[f"r{n}", "alive", n, "north", "", 0, "127.0.0.1", 1, 2] for n in range(200)]
     view_server, received = showing.ViewServer(lambda: rows, TokenBucket(1, 30)), []
     while len(received) < len(rows):
-        view_server.take(0, ("x", 1), showing.encode_request(len(received)))
+        view_server.receive(0, ("x", 1), showing.encode_request(len(received)))
         received += showing.decode_page(view_server.out.pop()[1]).rows
     assert received == rows
     for _ in range(40):
-        view_server.take(0, ("x", 1), showing.encode_request(0))
+        view_server.receive(0, ("x", 1), showing.encode_request(0))
     assert len(view_server.out) < 30
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -57,7 +57,7 @@
                 self.in_transit.remove(datagram)
                 _, a, b, run_id, payload = datagram
                 if b not in self.dead:
-                    self.signals[b].take(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}", run_id=run_id))
+                    self.signals[b].receive(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}", run_id=run_id))
             for n, router in enumerate(self.signals):
                 if n not in self.dead and router.due() <= self.clock(n):
                     router.tick(self.clock(n))
@@ -197,10 +197,10 @@
 def test_rubbish_and_strangers_are_counted_and_change_nothing():
     receiver = Signals(list, lambda: {"b": 1}, Random(1), 0)
     good = signals._encoder.encode(signals.SignalMessage(1, 1, 0, 0, True, [row()]))
-    receiver.take(5, 1, good, SimpleNamespace(sender="c", run_id=1))
-    receiver.take(5, 1, b"\xff" + good, SimpleNamespace(sender="b", run_id=1))
+    receiver.receive(5, 1, good, SimpleNamespace(sender="c", run_id=1))
+    receiver.receive(5, 1, b"\xff" + good, SimpleNamespace(sender="b", run_id=1))
     for bad in (row(failure_percent=101), row(kv_tokens=-1), row(mark=1 << 40), row(prefill_tokens=-1)):
-        receiver.take(
+        receiver.receive(
             5,
             1,
             signals._encoder.encode(signals.SignalMessage(1, 1, 0, 0, True, [bad])),
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -42,7 +42,7 @@
             ]:
                 self.in_transit.remove(datagram)
                 _, a, b, payload = datagram
-                self.members[b].take(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}"))
+                self.members[b].receive(self.clock(b), a, payload, SimpleNamespace(sender=f"r{a}"))
             for n, member in enumerate(self.members):
                 if self.now < self.suspended_until[n]:
                     continue
@@ -166,7 +166,7 @@
     member.tick(0)
     late_grant = turns._encoder.encode(turns.LeaseMessage(1, "give", "x", member.wanted["x"].number))
     member.tick(3 * S)
-    member.take(3 * S, 1, late_grant, SimpleNamespace(sender="b"))
+    member.receive(3 * S, 1, late_grant, SimpleNamespace(sender="b"))
     assert not member.holds(3 * S, "x")
 
 
@@ -177,9 +177,9 @@
         turns.LeaseMessage(1, "ask", "x" * 99, 1),
         turns.LeaseMessage(1, "ask", "x", 1, 1 << 20),
     ):
-        member.take(9 * S, 1, turns._encoder.encode(message), SimpleNamespace(sender="b"))
-    member.take(9 * S, 1, turns._encoder.encode(turns.LeaseMessage(1, "ask", "x", 1)), SimpleNamespace(sender="c"))
-    member.take(9 * S, 1, b"\xff", SimpleNamespace(sender="b"))
+        member.receive(9 * S, 1, turns._encoder.encode(message), SimpleNamespace(sender="b"))
+    member.receive(9 * S, 1, turns._encoder.encode(turns.LeaseMessage(1, "ask", "x", 1)), SimpleNamespace(sender="c"))
+    member.receive(9 * S, 1, b"\xff", SimpleNamespace(sender="b"))
     assert (
         member.count["out of bounds"] == 4 and member.count["unreadable"] == 1 and not member.granted and not member.out
     )
