--- a/ramppulley/cluster/showing.py
+++ b/ramppulley/cluster/showing.py
@@ -33,7 +33,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Showing:
+class ViewServer:
     """Answers page requests with as many rows as fit into one datagram. `rows()` returns all rows."""
 
     def __init__(self, rows: Callable[[], list[Row]], budget: TokenBucket) -> None:
@@ -41,7 +41,7 @@
         self.budget = budget
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
         """Handles one page request; an unreadable or rate-limited request gets no answer."""
         try:
             request = _request_decoder.decode(payload)
@@ -67,14 +67,14 @@
         """Does nothing: there are no timers."""
 
 
-class Switch:
+class SharingControl:
     """Enables or disables signals and leases when an operator sends the command. `on_switch(enabled)` applies it."""
 
     def __init__(self, on_switch: Callable[[bool], None]) -> None:
         self.on_switch = on_switch
         self.out: list[tuple[Address, bytes]] = []
 
-    def take(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
+    def receive(self, now: int, address: Address, payload: bytes, header: object = None) -> None:
         """Handles one command; any other payload is ignored."""
         if payload in (b"on", b"off"):
             self.on_switch(payload == b"on")
@@ -88,11 +88,11 @@
         """Does nothing: there are no timers."""
 
 
-def ask(first: int) -> bytes:
+def encode_request(first: int) -> bytes:
     """Encodes a request for the page that starts at row `first`."""
     return _encoder.encode(PageRequest(first))
 
 
-def page(payload: bytes) -> Page:
+def decode_page(payload: bytes) -> Page:
     """Decodes a page. Raises msgspec.MsgspecError."""
     return _page_decoder.decode(payload)
